--- a/plumpick/__main__.py
+++ b/plumpick/__main__.py
@@ -17,6 +17,7 @@
 from plumpick.door import Door
 from plumpick.gatekeeper import Gatekeeper
 from plumpick.handover import Handover
+from plumpick.log_handler import NonBlockingHandler
 
 FIRST_LIST_S = 0.5  # how long the first whole list is waited for; after that the known one has to do
 # After SIGTERM connections go on coming for up to 0.4 s, and clients go on using those that they have; peers
@@ -106,7 +107,10 @@
 
 def main() -> int:
     """The exit code."""
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
+    # No handler at all where standard error is closed: its number may be that of a client's socket by now.
+    handler = logging.NullHandler() if sys.stderr is None else NonBlockingHandler(sys.stderr.fileno())
+    logging.basicConfig(handlers=[handler], level=logging.INFO,
+                        format="%(asctime)s %(levelname)s %(message)s")
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is handled: what it asks for comes anyway
     try:
         config = load(os.environ)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -6,6 +6,7 @@
 import os
 import pathlib
 import resource
+import select
 import signal
 import socket
 import sys
@@ -27,9 +28,9 @@
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable)
     surroundings = {**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": folder}
+    more.setdefault("stderr", asyncio.subprocess.PIPE)
     return await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", command, cwd=ROOT, env=surroundings,
-        stderr=asyncio.subprocess.PIPE, **more)
+        "/bin/sh", "-c", command, cwd=ROOT, env=surroundings, **more)
 
 
 async def until_up(port):
@@ -140,6 +141,57 @@
     with_program(tmp_path, scenario)
 
 
+def fill(descriptor):
+    """Write to a pipe until it takes no more, and make it block again."""
+    os.set_blocking(descriptor, False)
+    with contextlib.suppress(BlockingIOError):
+        while True:
+            os.write(descriptor, bytes(64 * 1024))
+    os.set_blocking(descriptor, True)
+
+
+def test_a_log_that_is_not_read_neither_stops_service_nor_the_planned_end(tmp_path):
+    """The process stood still in write(2) to its standard error once the pipe was full."""
+    unread, log = os.pipe()
+    try:
+        fill(log)
+
+        async def scenario(process, port, worker, fake, _path):
+            for _ in range(2):  # each logs a line
+                process.send_signal(signal.SIGHUP)
+                client = await Client().open(port)
+                client.send(request())
+                _, writer = await worker.asked()
+                writer.write(answer())
+                assert (await client.answer())[0] == 200
+            process.send_signal(signal.SIGTERM)
+            assert await process.wait() == 0
+        with_program(tmp_path, scenario, stderr=log)
+    finally:
+        os.close(unread)
+        os.close(log)
+
+
+def test_log_records_dropped_for_a_stalled_reader_are_counted_once_it_reads_again(tmp_path):
+    reader, log = os.pipe()
+    try:
+        fill(log)
+
+        async def scenario(process, port, worker, _fake, _path):
+            loop, said = asyncio.get_running_loop(), b""
+            while os.read(reader, 4096) == bytes(4096):  # all that filled the pipe
+                if not select.select([reader], [], [], 0)[0]:
+                    break
+            process.send_signal(signal.SIGHUP)
+            while b"read anew" not in said:
+                said += await loop.run_in_executor(None, os.read, reader, 4096)
+            assert b" log records were dropped" in said
+        with_program(tmp_path, scenario, stderr=log)
+    finally:
+        os.close(reader)
+        os.close(log)
+
+
 @pytest.mark.parametrize("signals", ((signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM)))
 def test_signals_during_the_start_are_taken_up_once_it_is_up(tmp_path, signals):
     """Discovery has been called and says nothing, so it is not ready when they come."""
