--- a/anisefront/control.py
+++ b/anisefront/control.py
@@ -12,8 +12,28 @@
 from dataclasses import replace
 
 from anisefront.interface import (
-    Action, Arrival, Cancel, ClientGone, Event, Fail, Fleet, Heard, Outcome, Parted, Refuse, Repeat,
-    RequestClass, Result, Scope, Send, Settings, Started, Subscribe, Tell, Wake, Whole,
+    Action,
+    Arrival,
+    Cancel,
+    ClientGone,
+    Event,
+    Fail,
+    Fleet,
+    Heard,
+    Outcome,
+    Parted,
+    Refuse,
+    Repeat,
+    RequestClass,
+    Result,
+    Scope,
+    Send,
+    Settings,
+    Started,
+    Subscribe,
+    Tell,
+    Wake,
+    Whole,
 )
 from anisefront.messages import decode, encode
 from anisefront.quota import ANSWER_PART, ASK_START_MS, TALKING_MS, TELL_MS, USUAL_GAIN, Quota
@@ -93,12 +113,21 @@
         self.classes = {kind.name: kind for kind in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
         self.window, self.servers = Window(settings.gateways), Servers(settings, self.rng, list(self.classes))
-        self.shares = {kind.name: FuzzyShare(kind.aim_ms * (1 - ANSWER_PART), 1 / len(settings.classes))
-                       for kind in settings.classes}
+        self.shares = {
+            kind.name: FuzzyShare(kind.aim_ms * (1 - ANSWER_PART), 1 / len(settings.classes))
+            for kind in settings.classes
+        }
         self.waits: dict[str, list[float]] = {kind.name: [] for kind in settings.classes}
         self.usual = {kind.name: min(USUAL_START_MS, kind.aim_ms / 4) for kind in settings.classes}
-        self.quota = Quota(settings, self.rng, self.plan_at, self.on_answer, self.on_denied, ASK_START_MS,
-                           self.rng.randrange(1 << 16))
+        self.quota = Quota(
+            settings,
+            self.rng,
+            self.plan_at,
+            self.on_answer,
+            self.on_denied,
+            ASK_START_MS,
+            self.rng.randrange(1 << 16),
+        )
         self.requests: dict[int, Request] = {}
         self.held: list[Request] = []
         self.attempts: dict[tuple[int, int], tuple[Backend, str]] = {}
@@ -231,8 +260,9 @@
         """Forget what is over: customers, and what the agenda holds for requests that have ended."""
         self.quota.forget(self.now, self.requests.values())
         if len(self.agenda) > AGENDA_SPARE + len(OF_REQUESTS) * len(self.requests):
-            self.agenda = [entry for entry in self.agenda
-                           if entry[2] not in OF_REQUESTS or entry[3] in self.requests]
+            self.agenda = [
+                entry for entry in self.agenda if entry[2] not in OF_REQUESTS or entry[3] in self.requests
+            ]
             heapq.heapify(self.agenda)
 
     def step_shares(self) -> None:
@@ -246,8 +276,11 @@
     def on_heard(self, event: Heard) -> None:
         """What another gateway tells; bytes that cannot be read and unknown senders change nothing."""
         news = decode(event.data)
-        if news is None or event.sender >= self.settings.gateways or (
-                event.sender == self.settings.number and not self.quota.shared):
+        if (
+            news is None
+            or event.sender >= self.settings.gateways
+            or (event.sender == self.settings.number and not self.quota.shared)
+        ):
             return
         self.quota.heard_ms[event.sender], self.quota.heard = self.now, self.quota.heard + 1
         self.window.fleet_room += (news.room - self.window.fleet_room) * FLEET_GAIN
@@ -266,8 +299,9 @@
         account.asked += arrival.units
         # An answer just after the aim is worth little or nothing, so waiting must leave time for the answer.
         aim_ms, worth = self.now + kind.aim_ms, kind.worth * plan.value
-        request = self.requests[arrival.id] = Request(arrival, kind, plan, account, self.now, aim_ms, worth,
-                                                       whole=arrival.whole)
+        request = self.requests[arrival.id] = Request(
+            arrival, kind, plan, account, self.now, aim_ms, worth, whole=arrival.whole
+        )
         self.plan_at(arrival.due_ms - 2 * self.settings.tick_ms, "due", arrival.id)
         last = arrival.due_ms if kind.late_worth > 0 else min(arrival.due_ms, request.aim_ms)
         impatient = self.now + ANSWER_PART * (last - self.now)  # it leaves less than an answer usually takes
@@ -341,8 +375,11 @@
                 (first if left[request.kind.name] >= 0 and request.inside else rest).append(request)
             self.held = first + rest
         busy = self.window.mean_out >= OVER_ROOM * cap
-        self.held = [request for request in self.held if self.window.free() < 1
-                     or busy and not request.inside or not self.send(request)]
+        self.held = [
+            request
+            for request in self.held
+            if self.window.free() < 1 or busy and not request.inside or not self.send(request)
+        ]
 
     def send(self, request: Request) -> bool:
         """One more attempt, where a server may take it."""
@@ -385,9 +422,16 @@
         if until_ms <= self.now:
             return []
         group = request.kind.scope
-        return None if group is Scope.ALL else [
-            backend for backend in self.servers.warm + self.servers.cold if backend.entry.zone == anchor.zone
-            and (group is Scope.ZONE or backend.entry.cell == anchor.cell)]
+        return (
+            None
+            if group is Scope.ALL
+            else [
+                backend
+                for backend in self.servers.warm + self.servers.cold
+                if backend.entry.zone == anchor.zone
+                and (group is Scope.ZONE or backend.entry.cell == anchor.cell)
+            ]
+        )
 
     def answer_time(self, kind: RequestClass) -> float:
         """What an attempt is taken to need. Bounded: past the aim all would be refused, and nothing heal."""
--- a/anisefront/interface.py
+++ b/anisefront/interface.py
@@ -74,8 +74,14 @@
     aim_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        _refuse_below(0, aim_ms=self.aim_ms, deadline_ms=self.deadline_ms, worth=self.worth,
-                      late_worth=self.late_worth, window_ms=self.window_ms)
+        _refuse_below(
+            0,
+            aim_ms=self.aim_ms,
+            deadline_ms=self.deadline_ms,
+            worth=self.worth,
+            late_worth=self.late_worth,
+            window_ms=self.window_ms,
+        )
         if not isinstance(self.repeat, Repeat):
             raise ValueError(f"repeat: {self.repeat!r} is no kind of repeat")
 
@@ -96,10 +102,18 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        _refuse_below(0, rate_per_s=self.rate_per_s, burst=self.burst, max_out=self.max_out,
-                      value=self.value, over_worth=self.over_worth, over_cost=self.over_cost,
-                      ceiling_per_s=self.ceiling_per_s, ceiling_burst=self.ceiling_burst,
-                      ceiling_slack=self.ceiling_slack)
+        _refuse_below(
+            0,
+            rate_per_s=self.rate_per_s,
+            burst=self.burst,
+            max_out=self.max_out,
+            value=self.value,
+            over_worth=self.over_worth,
+            over_cost=self.over_cost,
+            ceiling_per_s=self.ceiling_per_s,
+            ceiling_burst=self.ceiling_burst,
+            ceiling_slack=self.ceiling_slack,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,10 +153,17 @@
         if not self.plans:
             raise ValueError("plans: there are none")
         _refuse_below(1, gateways=self.gateways, max_attempts=self.max_attempts)
-        _refuse_below(0, number=self.number, warm_up_ms=self.warm_up_ms, cold_from=self.cold_from,
-                      fall_multiple=self.fall_multiple, fall_window_ms=self.fall_window_ms,
-                      max_units=self.max_units, inbox_per_s=self.inbox_per_s,
-                      drain_grace_ms=self.drain_grace_ms)
+        _refuse_below(
+            0,
+            number=self.number,
+            warm_up_ms=self.warm_up_ms,
+            cold_from=self.cold_from,
+            fall_multiple=self.fall_multiple,
+            fall_window_ms=self.fall_window_ms,
+            max_units=self.max_units,
+            inbox_per_s=self.inbox_per_s,
+            drain_grace_ms=self.drain_grace_ms,
+        )
         if self.number >= self.gateways:
             raise ValueError(f"number: {self.number} is not below gateways ({self.gateways})")
 
--- a/anisefront/messages.py
+++ b/anisefront/messages.py
@@ -90,8 +90,16 @@
     sightings = [seen for seen in sightings[:MAX_SIGHTINGS] if seen.class_index < MAX_INDEX]
     parts = [_HEAD.pack(_VERSION, boot & 0xFFFF, _clip(room * 64), len(items))]
     for item in items:
-        parts.append(_ITEM.pack(item.kind, item.tag, item.serial & 0xFFFF, _clip(item.units * 16),
-                                _clip(item.asked_per_s * 16), item.class_index << 4 | item.plan_index))
+        parts.append(
+            _ITEM.pack(
+                item.kind,
+                item.tag,
+                item.serial & 0xFFFF,
+                _clip(item.units * 16),
+                _clip(item.asked_per_s * 16),
+                item.class_index << 4 | item.plan_index,
+            )
+        )
     parts += [_SIGHTING.pack(seen.server, seen.class_index << 4 | seen.grade) for seen in sightings]
     return b"".join(parts)
 
@@ -108,14 +116,21 @@
     body = _HEAD.size + count * _ITEM.size
     if len(data) < body or (len(data) - body) % _SIGHTING.size:
         return None
-    rows = list(_ITEM.iter_unpack(data[_HEAD.size:body]))
+    rows = list(_ITEM.iter_unpack(data[_HEAD.size : body]))
     if any(row[0] not in _KINDS for row in rows):
         return None
-    return News(boot, room / 64, tuple(
-        Item(Kind(kind), tag, serial, units / 16, asked / 16, packed >> 4, packed & 15)
-        for kind, tag, serial, units, asked, packed in rows), tuple(
-        Sighting(server, packed >> 4, packed & 15)
-        for server, packed in _SIGHTING.iter_unpack(data[body:])))
+    return News(
+        boot,
+        room / 64,
+        tuple(
+            Item(Kind(kind), tag, serial, units / 16, asked / 16, packed >> 4, packed & 15)
+            for kind, tag, serial, units, asked, packed in rows
+        ),
+        tuple(
+            Sighting(server, packed >> 4, packed & 15)
+            for server, packed in _SIGHTING.iter_unpack(data[body:])
+        ),
+    )
 
 
 _KINDS = frozenset(int(kind) for kind in Kind)
--- a/anisefront/quota.py
+++ b/anisefront/quota.py
@@ -87,17 +87,29 @@
             plan, gone_s = account.plan, (now - account.at_ms) / 1000
             idle = gone_s * 1000 > FORGET_MS and id(account) not in open_now and not account.out
             rate, ceiling = plan.rate_per_s / account.spread, plan.ceiling_per_s * (1 - HOME_CEILING)
-            if idle and account.own + rate * gone_s >= 0 and (
-                    not ceiling or account.ceiling + ceiling / account.spread * gone_s
-                    >= plan.ceiling_burst * (1 - HOME_CEILING) / account.spread):
+            if (
+                idle
+                and account.own + rate * gone_s >= 0
+                and (
+                    not ceiling
+                    or account.ceiling + ceiling / account.spread * gone_s
+                    >= plan.ceiling_burst * (1 - HOME_CEILING) / account.spread
+                )
+            ):
                 del self.accounts[name]
         for key, store in list(self.stores.items()):
             plan, gone_s = store.plan, (now - store.at_ms) / 1000
             idle = gone_s * 1000 > FORGET_MS and not store.queue and store.wake_ms == math.inf
-            if idle and store.level + plan.rate_per_s * gone_s >= plan.burst and (
-                    not plan.ceiling_per_s or store.ceiling + plan.ceiling_per_s * HOME_CEILING * gone_s
-                    >= plan.ceiling_burst * HOME_CEILING) and all(
-                    until <= now for until in store.leases.values()):
+            if (
+                idle
+                and store.level + plan.rate_per_s * gone_s >= plan.burst
+                and (
+                    not plan.ceiling_per_s
+                    or store.ceiling + plan.ceiling_per_s * HOME_CEILING * gone_s
+                    >= plan.ceiling_burst * HOME_CEILING
+                )
+                and all(until <= now for until in store.leases.values())
+            ):
                 del self.stores[key]
 
     def request(self, now: float, request: Request, wait_ms: float) -> bool:
@@ -152,9 +164,19 @@
         if not request.serial:
             self.serial = request.serial = self.serial % 0xFFFF + 1
             self.asking[request.serial] = request
-        self.say(now, account.home, Item(
-            kind, account.tag, request.serial, request.arrival.units, account.asked * 1000 / DEMAND_MEMORY_MS,
-            self.settings.classes.index(request.kind), self.settings.plans.index(request.plan)))
+        self.say(
+            now,
+            account.home,
+            Item(
+                kind,
+                account.tag,
+                request.serial,
+                request.arrival.units,
+                account.asked * 1000 / DEMAND_MEMORY_MS,
+                self.settings.classes.index(request.kind),
+                self.settings.plans.index(request.plan),
+            ),
+        )
 
     def close(self, now: float, request: Request) -> None:
         """The request has ended: what it drew and did not use goes back, and its slot is free."""
@@ -249,8 +271,9 @@
         store.level = min(plan.burst, store.level + plan.rate_per_s * gone_s)
         ceiling_per_s = plan.ceiling_per_s * HOME_CEILING
         store.ceiling = min(plan.ceiling_burst * HOME_CEILING, store.ceiling + ceiling_per_s * gone_s)
-        store.queue = sorted((ask for ask in store.queue if ask.until_ms > now),
-                             key=lambda ask: (ask.worth, ask.came_ms))
+        store.queue = sorted(
+            (ask for ask in store.queue if ask.until_ms > now), key=lambda ask: (ask.worth, ask.came_ms)
+        )
         if plan.max_out:
             store.leases = {key: until for key, until in store.leases.items() if until > now}
         while store.queue:
--- a/anisefront/servers.py
+++ b/anisefront/servers.py
@@ -47,13 +47,17 @@
 
     def forget(self) -> None:
         """Of servers that have gone nothing is kept, once nothing is out there: ids may be ever new."""
-        self.known = {name: backend for name, backend in self.known.items()
-                      if backend.entry.state is not State.GONE or backend.out}
+        self.known = {
+            name: backend
+            for name, backend in self.known.items()
+            if backend.entry.state is not State.GONE or backend.out
+        }
         # A tag is short: of 200 servers two share one on a quarter of the days. What is heard of such a tag
         # may be about either, and counts for neither.
         shared = Counter(map(server_tag, self.known))
-        self.by_tag = {server_tag(name): backend for name, backend in self.known.items()
-                       if shared[server_tag(name)] == 1}
+        self.by_tag = {
+            server_tag(name): backend for name, backend in self.known.items() if shared[server_tag(name)] == 1
+        }
 
     def sort(self, now: float) -> None:
         """The servers that are ready, by warmth."""
@@ -84,8 +88,11 @@
         zones: dict[str, list[Backend]] = {}
         for backend in sorted(servers, key=lambda one: (server_tag(one.entry.id), one.entry.id)):
             zones.setdefault(backend.entry.zone, []).append(backend)
-        places = [((n + 0.5) / len(zone), name, backend)
-                  for name, zone in zones.items() for n, backend in enumerate(zone)]
+        places = [
+            ((n + 0.5) / len(zone), name, backend)
+            for name, zone in zones.items()
+            for n, backend in enumerate(zone)
+        ]
         ring = [backend for _, _, backend in sorted(places, key=lambda place: place[:2])]
         step = next(n for n in range(round(gateways * 0.618), gateways) if math.gcd(n, gateways) == 1)
         start = self.settings.number * step % gateways * size // gateways
@@ -95,7 +102,8 @@
         """One period has gone by."""
         self.reference = max(self.least, self.reference * math.exp(-PERIOD_MS / FLEET_MEMORY_MS))
         self.firsts, self.tosses = (
-            count * math.exp(-PERIOD_MS / REPORT_MEMORY_MS) for count in (self.firsts, self.tosses))
+            count * math.exp(-PERIOD_MS / REPORT_MEMORY_MS) for count in (self.firsts, self.tosses)
+        )
         self.sends *= math.exp(-PERIOD_MS / REPORT_MEMORY_MS)
         if self.cold:
             self.sort(now)
@@ -125,8 +133,11 @@
         """A server for one more attempt. `group`: the only ones that rule 2 allows, where it binds."""
         warm = self.warm if group is None else [backend for backend in self.warm if backend in group]
         if group is None and self.near is not self.warm:
-            good = [backend for backend in self.near
-                    if self.failing(now, backend, request.kind.name) < COLD_FAILING]
+            good = [
+                backend
+                for backend in self.near
+                if self.failing(now, backend, request.kind.name) < COLD_FAILING
+            ]
             warm = good if 2 * len(good) > len(self.near) else warm  # a part that fails: all, then
         name, best, best_cost = request.kind.name, None, math.inf
         if self.cold and now >= request.toss_ms:
@@ -160,8 +171,11 @@
     def rotation(self, now: float) -> tuple[int, int]:
         """How many servers are listed, and how many of these get nothing, or next to nothing, now."""
         listed = [backend for backend in self.known.values() if backend.entry.state is not State.GONE]
-        return len(listed), sum(backend.entry.state is not State.READY or max(
-            self.failing(now, backend, name) for name in self.names) >= COLD_FAILING for backend in listed)
+        return len(listed), sum(
+            backend.entry.state is not State.READY
+            or max(self.failing(now, backend, name) for name in self.names) >= COLD_FAILING
+            for backend in listed
+        )
 
     def report(self, now: float, backend: Backend, load: tuple[float, ...]) -> None:
         values = dict(zip(self.settings.report_fields, load, strict=False))
@@ -185,7 +199,7 @@
         backend.seen_ms = now
         if weight > HEARD_WEIGHT:  # first-hand: worth telling
             seen = sighting(backend.entry.id, self.names.index(name), ratio)
-            self.sightings = [*self.sightings[1 - MAX_SIGHTINGS:], (now, seen)]
+            self.sightings = [*self.sightings[1 - MAX_SIGHTINGS :], (now, seen)]
 
     def hear(self, now: float, sightings: tuple[Sighting, ...]) -> None:
         """What a peer saw weighs the less the more we see ourselves, or all would flee and crowd alike."""
--- a/anisefront/simhost.py
+++ b/anisefront/simhost.py
@@ -97,15 +97,38 @@
     "CONFIGURE": (("salt", _whole), ("info", _text)),
     "KILL": (),
     "FLEET": (("mode", _mode), ("rev", _whole), ("rows", _whole)),
-    "WORKER": (("worker", _word), ("zone", _text), ("sku", _text), ("pod", _whole), ("health", _state),
-               ("share", _number), ("onlineSinceMs", _number)),
-    "REQUEST": (("requestId", _natural), ("setFrom", _number), ("doors", _number), ("sizeUnits", _number),
-                ("dueMs", _number), ("stateBits", _whole), ("member", _word), ("category", _word),
-                ("gradeOfService", _word)),
+    "WORKER": (
+        ("worker", _word),
+        ("zone", _text),
+        ("sku", _text),
+        ("pod", _whole),
+        ("health", _state),
+        ("share", _number),
+        ("onlineSinceMs", _number),
+    ),
+    "REQUEST": (
+        ("requestId", _natural),
+        ("setFrom", _number),
+        ("doors", _number),
+        ("sizeUnits", _number),
+        ("dueMs", _number),
+        ("stateBits", _whole),
+        ("member", _word),
+        ("category", _word),
+        ("gradeOfService", _word),
+    ),
     "ACK_FIRST": (("requestId", _natural), ("worker", _word), ("rttMs", _number), ("roundNo", _natural)),
-    "VERDICT": (("requestId", _natural), ("roundNo", _natural), ("actual", _number), ("worker", _word),
-                ("rttMs", _number), ("result", _result), ("final", _flag), ("quotaUse", _whole),
-                ("load", _row)),
+    "VERDICT": (
+        ("requestId", _natural),
+        ("roundNo", _natural),
+        ("actual", _number),
+        ("worker", _word),
+        ("rttMs", _number),
+        ("result", _result),
+        ("final", _flag),
+        ("quotaUse", _whole),
+        ("load", _row),
+    ),
     "CLIENT_GONE": (("requestId", _natural),),
     "FIRED": (("name", _word),),
     "PONG": (("worker", _word), ("rttMs", _number), ("result", _result), ("load", _row)),
@@ -119,7 +142,7 @@
     """The values of one message."""
     fields = _FIELDS[name]
     if name in _LAST_IS_TEXT and len(parts) > len(fields):
-        parts = [*parts[:len(fields) - 1], "\t".join(parts[len(fields) - 1:])]
+        parts = [*parts[: len(fields) - 1], "\t".join(parts[len(fields) - 1 :])]
     if len(parts) != len(fields):
         raise WireError(f"{name}: {len(parts)} fields where {len(fields)} are due")
     values = []
@@ -138,8 +161,9 @@
     """The module's event for one message of an instance."""
     if name == "REQUEST":
         number, first, spread, units, due, bits, customer, category, plan = values
-        return face.Arrival(number, customer, category, plan, due, units, int(first), int(spread),
-                            bool(bits & _REPEATED_BIT))
+        return face.Arrival(
+            number, customer, category, plan, due, units, int(first), int(spread), bool(bits & _REPEATED_BIT)
+        )
     if name == "VERDICT":
         number, attempt, actual, worker, took, result, final, used, load = values
         return face.Outcome(number, attempt, worker, took, result, final, actual, used, load)
@@ -268,8 +292,10 @@
             for fault in self._instances[number].faults:
                 raise fault
         except Exception as problem:
-            raise ModuleFault(f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: "
-                              f"{' '.join(str(problem).split())}") from problem
+            raise ModuleFault(
+                f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: "
+                f"{' '.join(str(problem).split())}"
+            ) from problem
         if actions:
             replies.append(f"FROM\t{number}")
             replies.extend(_reply(action) for action in actions)
@@ -286,6 +312,7 @@
         return 2
     except ModuleFault as fault:
         import traceback
+
         traceback.print_exception(fault.__cause__, file=sys.stderr)
         print(f"{fault}\nFINISHED", flush=True)
         return 1
--- a/anisefront/succession.py
+++ b/anisefront/succession.py
@@ -25,18 +25,57 @@
     quota, servers = controller.quota, controller.servers
     plans = quota.settings.plans
     state = {
-        "now": now, "boot": quota.boot, "serial": quota.serial, "began": quota.began_ms, "rtt": quota.rtt_ms,
-        "accounts": [[list(name), account.at_ms, account.own, account.ceiling, account.asked, account.total,
-                      account.total_ms] for name, account in quota.accounts.items()],
-        "stores": [[name, plans.index(store.plan), store.level, store.at_ms, store.ceiling, store.asked,
-                    [[ask.key, ask.item, ask.worth, ask.came_ms, ask.until_ms] for ask in store.queue],
-                    list(store.leases.items()), list(store.done.items())]
-                   for name, store in quota.stores.items()],
-        "servers": [[name, known.entry.started_ms, known.slow, known.seen, known.bad, known.seen_ms,
-                     known.others, known.report_ms] for name, known in servers.known.items()],
-        "reference": servers.reference, "sends": servers.sends, "budget": controller.budget,
+        "now": now,
+        "boot": quota.boot,
+        "serial": quota.serial,
+        "began": quota.began_ms,
+        "rtt": quota.rtt_ms,
+        "accounts": [
+            [
+                list(name),
+                account.at_ms,
+                account.own,
+                account.ceiling,
+                account.asked,
+                account.total,
+                account.total_ms,
+            ]
+            for name, account in quota.accounts.items()
+        ],
+        "stores": [
+            [
+                name,
+                plans.index(store.plan),
+                store.level,
+                store.at_ms,
+                store.ceiling,
+                store.asked,
+                [[ask.key, ask.item, ask.worth, ask.came_ms, ask.until_ms] for ask in store.queue],
+                list(store.leases.items()),
+                list(store.done.items()),
+            ]
+            for name, store in quota.stores.items()
+        ],
+        "servers": [
+            [
+                name,
+                known.entry.started_ms,
+                known.slow,
+                known.seen,
+                known.bad,
+                known.seen_ms,
+                known.others,
+                known.report_ms,
+            ]
+            for name, known in servers.known.items()
+        ],
+        "reference": servers.reference,
+        "sends": servers.sends,
+        "budget": controller.budget,
         "window": {name: getattr(controller.window, name) for name in WINDOW},
-        "shares": {name: share.share for name, share in controller.shares.items()}, "usual": controller.usual}
+        "shares": {name: share.share for name, share in controller.shares.items()},
+        "usual": controller.usual,
+    }
     quota.succeeded = quota.shared = True
     empty(quota, now)
     return state
@@ -83,7 +122,8 @@
             store = quota.stores[name] = Store(plan, level, at_ms + shift, ceiling, asked)
             store.queue = [
                 Ask(key_from(key), Item(Kind(item[0]), *item[1:]), worth, came_ms + shift, until_ms + shift)
-                for key, item, worth, came_ms, until_ms in queue]
+                for key, item, worth, came_ms, until_ms in queue
+            ]
             store.leases = {key_from(key): until + shift for key, until in leases}
             store.done = {key_from(key): ms + shift for key, ms in done}
             quota.serve(now, name)  # sets its wake-up anew
--- a/plumpick/__main__.py
+++ b/plumpick/__main__.py
@@ -65,9 +65,15 @@
     await handover.find()
     known = config.known.index if config.known.entries else None
     settings = config.settings
-    discovery = Discovery(config.discovery, gatekeeper.listed, known, fleet=settings.gateways,
-                          seed=config.seed, pushed=not settings.must_subscribe,
-                          grace_s=settings.drain_grace_ms / 1000)
+    discovery = Discovery(
+        config.discovery,
+        gatekeeper.listed,
+        known,
+        fleet=settings.gateways,
+        seed=config.seed,
+        pushed=not settings.must_subscribe,
+        grace_s=settings.drain_grace_ms / 1000,
+    )
     tasks = [loop.create_task(discovery.run()), loop.create_task(reload(config, discovery, reload_asked))]
     try:
         await asyncio.wait_for(discovery.listed.wait(), FIRST_LIST_S)
@@ -109,8 +115,9 @@
     """The exit code."""
     # No handler at all where standard error is closed: its number may be that of a client's socket by now.
     handler = logging.NullHandler() if sys.stderr is None else NonBlockingHandler(sys.stderr.fileno())
-    logging.basicConfig(handlers=[handler], level=logging.INFO,
-                        format="%(asctime)s %(levelname)s %(message)s")
+    logging.basicConfig(
+        handlers=[handler], level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
+    )
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is handled: what it asks for comes anyway
     try:
         config = load(os.environ)
--- a/plumpick/admission.py
+++ b/plumpick/admission.py
@@ -107,7 +107,7 @@
             for client in quiet[:crowd]:
                 client.close_if_idle()
         idle = [one for one, since in self._idle.items() if now - since > spared_ms]
-        for client in idle[:len(self._idle) - self.idle_kept] if spared_ms == SPARED_MS else idle:
+        for client in idle[: len(self._idle) - self.idle_kept] if spared_ms == SPARED_MS else idle:
             client.close_if_idle()
         for client in [one for one, since in self._leaving.items() if now - since > LINGER_MS]:
             if client.heard and now - client.leaving_ms < LINGER_MOST_MS and not ending:
--- a/plumpick/clients.py
+++ b/plumpick/clients.py
@@ -20,12 +20,32 @@
 ANSWER_WAITS = 64 * 1024  # so much of an answer may wait for its client before no more of it is read
 PAUSE_MS, PAUSE_MOST_MS = 50.0, 1000.0  # after a bad request nothing is read for so long; doubles each time
 
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-           409: "Conflict",
-           413: "Content Too Large", 431: "Request Header Fields Too Large", 502: "Bad Gateway",
-           503: "Service Unavailable", 504: "Gateway Timeout"}
-_KNOWN = {b"x-request-id", b"x-tier", b"x-api-key", b"x-deadline-ms", b"x-call-terms", b"x-retry",
-          b"idempotency-key", b"content-type", b"content-length", b"transfer-encoding", b"expect"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
+_KNOWN = {
+    b"x-request-id",
+    b"x-tier",
+    b"x-api-key",
+    b"x-deadline-ms",
+    b"x-call-terms",
+    b"x-retry",
+    b"idempotency-key",
+    b"content-type",
+    b"content-length",
+    b"transfer-encoding",
+    b"expect",
+}
 
 
 class ClientConnection(asyncio.Protocol):
@@ -276,10 +296,13 @@
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
         else:
             head = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s%s\r\n" % (
-                status, REASONS[status].encode(), len(body),
+                status,
+                REASONS[status].encode(),
+                len(body),
                 b"Content-Type: %s\r\n" % kind if kind else b"",
                 b"Retry-After: %.3f\r\n" % (retry_in_ms / 1000) if retry_in_ms else b"",
-                b"Connection: close\r\n" if close else b"")
+                b"Connection: close\r\n" if close else b"",
+            )
         early = self.begun  # the request is not whole yet: what still comes of it is read and dropped
         if early and close:
             self._finish(head + body)
@@ -312,11 +335,18 @@
         # An old client knows no chunks: its answer ends with the connection.
         self.chunked = length is None and self.parser.get_http_version() == "1.1"
         self.keep = self.keep and (length is not None or self.chunked)
-        self.transport.write(b"HTTP/1.1 200 OK\r\n%s%s%s\r\n" % (
-            b"Transfer-Encoding: chunked\r\n" if self.chunked
-            else b"" if length is None else b"Content-Length: %d\r\n" % length,
-            b"Content-Type: %s\r\n" % kind if kind else b"",
-            b"Connection: close\r\n" if self._must_close() else b""))
+        self.transport.write(
+            b"HTTP/1.1 200 OK\r\n%s%s%s\r\n"
+            % (
+                b"Transfer-Encoding: chunked\r\n"
+                if self.chunked
+                else b""
+                if length is None
+                else b"Content-Length: %d\r\n" % length,
+                b"Content-Type: %s\r\n" % kind if kind else b"",
+                b"Connection: close\r\n" if self._must_close() else b"",
+            )
+        )
 
     def pass_on(self, part: bytes) -> None:
         """The next part of the answer."""
@@ -350,8 +380,10 @@
 
     def refuse(self, status: int) -> None:
         """An error for what cannot be read, and the end of the connection."""
-        self._finish(b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-                     % (status, REASONS[status].encode()))
+        self._finish(
+            b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+            % (status, REASONS[status].encode())
+        )
 
     def _finish(self, data: bytes) -> None:
         """Write and end our side, but read on for a while: a reset would erase the error on its way."""
@@ -376,8 +408,16 @@
     def movable(self) -> bool:
         """Whether another process could go on with the connection: nothing of it is here, in or out."""
         transport = self.transport
-        return not (self.request is not None or self.begun or self.ending or self.paused or self.excess
-                    or transport is None or transport.is_closing() or transport.get_write_buffer_size())
+        return not (
+            self.request is not None
+            or self.begun
+            or self.ending
+            or self.paused
+            or self.excess
+            or transport is None
+            or transport.is_closing()
+            or transport.get_write_buffer_size()
+        )
 
     # -- what the admission asks of it
 
--- a/plumpick/config.py
+++ b/plumpick/config.py
@@ -74,13 +74,20 @@
     status = row.text("status")
     if status not in STATES:
         raise SettingsError(f"{row.path}.status: {status!r} is no status")
-    server = Server(row.text("name"), row.text("zone", ""), int(row.number("group", 0.0)), STATES[status],
-                    row.number("weight", 1.0), row.number("since_ms", 0.0))
+    server = Server(
+        row.text("name"),
+        row.text("zone", ""),
+        int(row.number("group", 0.0)),
+        STATES[status],
+        row.number("weight", 1.0),
+        row.number("since_ms", 0.0),
+    )
     return Entry(server, address_from(row.text("address"), f"{row.path}.address"))
 
 
-def worker_list_from(value: Any, path: str,
-                     skipped: Callable[[SettingsError], None] | None = None) -> WorkerList:
+def worker_list_from(
+    value: Any, path: str, skipped: Callable[[SettingsError], None] | None = None
+) -> WorkerList:
     """A list in discovery's form; raises SettingsError where it cannot be read.
 
     With `skipped`, an entry that cannot be read is told there and left out, which ends its worker's use."""
@@ -116,14 +123,20 @@
         name=top.text("name", environment.get("BALANCER_NAME")),
         listen=address_from(top.text("listen", environment.get("BALANCER_LISTEN")), "config.listen"),
         discovery=address_from(
-            top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"),
-        seed=seed_number, sockets=int(top.table("limits", {}).number("sockets", 1024.0)), settings=own,
-        dial_timeout_ms=limits.number("dialTimeoutMs", 250.0), idle_ms=limits.number("connIdleMs", 15_000.0),
+            top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"
+        ),
+        seed=seed_number,
+        sockets=int(top.table("limits", {}).number("sockets", 1024.0)),
+        settings=own,
+        dial_timeout_ms=limits.number("dialTimeoutMs", 250.0),
+        idle_ms=limits.number("connIdleMs", 15_000.0),
         known=worker_list_from(top.table("known", {"index": 0, "endpoints": []}).value, "config.known"),
-        peer_listen=address_from(peer_listen, "config.peer_listen") if peer_listen else None, peers=peers,
+        peer_listen=address_from(peer_listen, "config.peer_listen") if peer_listen else None,
+        peers=peers,
         peers_all=address_from(peers_all, "config.peers_all") if peers_all else None,
         control=address_from(control, "config.control") if control else None,
-        private_folder=environment.get("TMPDIR", ""))
+        private_folder=environment.get("TMPDIR", ""),
+    )
 
 
 def load(environment: Mapping[str, str]) -> Config:
--- a/plumpick/discovery.py
+++ b/plumpick/discovery.py
@@ -82,8 +82,9 @@
     Chance spreads the first calls after a failure over the time there is. Those after them come at about the
     end of it: that keeps the gateways apart, and makes the fewest calls."""
 
-    def __init__(self, fleet: int, rng: random.Random, *, alone: bool = False,
-                 most_wait_s: float = MOST_WAIT_S) -> None:
+    def __init__(
+        self, fleet: int, rng: random.Random, *, alone: bool = False, most_wait_s: float = MOST_WAIT_S
+    ) -> None:
         self._fleet, self._rng, self._most_wait_s = fleet, rng, most_wait_s
         self._callers, self._failures, self._each_s = 1 if alone else fleet, 0, HURRY_EACH_S
 
@@ -111,9 +112,17 @@
 class Discovery:
     """Watches the list of workers and passes on all that it is told."""
 
-    def __init__(self, address: Address, told: Callable[[WorkerList], None], known: int | None = None, *,
-                 fleet: int = 1, seed: int | None = None, pushed: bool = False,
-                 grace_s: float = math.inf) -> None:
+    def __init__(
+        self,
+        address: Address,
+        told: Callable[[WorkerList], None],
+        known: int | None = None,
+        *,
+        fleet: int = 1,
+        seed: int | None = None,
+        pushed: bool = False,
+        grace_s: float = math.inf,
+    ) -> None:
         self._address, self._told = address, told
         self._index = known  # version of the list that is known; None: the whole list is asked for
         # An agent that is back has news that binds: it is not left uncalled for longer than is allowed then.
@@ -171,8 +180,12 @@
                     self._index = news.index
                     self._pace.worked()
                     refused = False
-                    if index is not None and watch_ms > 1 and not news.entries \
-                            and loop.time() - asked_s < LEAST_GAP_S:
+                    if (
+                        index is not None
+                        and watch_ms > 1
+                        and not news.entries
+                        and loop.time() - asked_s < LEAST_GAP_S
+                    ):
                         await asyncio.sleep(LEAST_GAP_S)
                     watch_ms = self._pace.watch_ms()
                 except CallFailed as problem:
@@ -206,11 +219,17 @@
         what has come since: a worker that wanted nothing new by then is not ready again by it."""
         now = asyncio.get_running_loop().time()
         if news.complete and news.index < self._newest:
-            news = replace(news, entries=tuple(
-                replace(entry, server=replace(entry.server, state=State.DRAINING))
-                if entry.server.state is State.READY and entry.server.id in self._left
-                and self._left[entry.server.id][0] == entry.server.started_ms else entry
-                for entry in news.entries))
+            news = replace(
+                news,
+                entries=tuple(
+                    replace(entry, server=replace(entry.server, state=State.DRAINING))
+                    if entry.server.state is State.READY
+                    and entry.server.id in self._left
+                    and self._left[entry.server.id][0] == entry.server.started_ms
+                    else entry
+                    for entry in news.entries
+                ),
+            )
         elif news.complete:
             self._newest = news.index
             for name in self._ready.keys() - {entry.server.id for entry in news.entries}:
@@ -224,8 +243,9 @@
             else:
                 self._ready.pop(server.id, None)
                 self._left[server.id] = server.started_ms, now
-        self._left = {name: (started_ms, at_s) for name, (started_ms, at_s) in self._left.items()
-                      if now - at_s < OLD_S}
+        self._left = {
+            name: (started_ms, at_s) for name, (started_ms, at_s) in self._left.items() if now - at_s < OLD_S
+        }
         return news
 
     def _skip(self, problem: SettingsError) -> None:
--- a/plumpick/door.py
+++ b/plumpick/door.py
@@ -17,8 +17,15 @@
 LINGER_MS = 500.0  # what still comes after the answer is read for so long: a reset would erase the answer
 MAX_CALL = 16 * 1024
 
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-           408: b"Request Timeout", 431: b"Request Header Fields Too Large", 503: b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    431: b"Request Header Fields Too Large",
+    503: b"Service Unavailable",
+}
 
 
 class Door:
@@ -117,9 +124,10 @@
             return
         self.answered = True
         allow = b"Allow: GET\r\n" if status == 405 else b""
-        transport.write(b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\n%sContent-Length: %d\r\n"
-                        b"Connection: close\r\n\r\n%s"
-                        % (status, REASONS[status], kind, allow, len(body), body))
+        transport.write(
+            b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\n%sContent-Length: %d\r\n"
+            b"Connection: close\r\n\r\n%s" % (status, REASONS[status], kind, allow, len(body), body)
+        )
         transport.write_eof()
         keeper = self.door.gatekeeper
         keeper.alarms.at(keeper.clock.now() + LINGER_MS, self.drop)
--- a/plumpick/figures.py
+++ b/plumpick/figures.py
@@ -25,13 +25,16 @@
         """All figures."""
         name = f"{PREFIX}_operations_total"
         lines = [f"# HELP {name} Requests answered: served, refused or failed.", f"# TYPE {name} counter"]
-        lines += [f'{name}{{priority="{escape(kind)}",status="{status}"}} {count}'
-                  for (kind, status), count in self.operations.items()]
+        lines += [
+            f'{name}{{priority="{escape(kind)}",status="{status}"}} {count}'
+            for (kind, status), count in self.operations.items()
+        ]
         for name, sort, told, value in (
-                ("relayed_total", "counter", "Attempts written whole to workers.", self.relayed),
-                ("open_requests", "gauge", "Requests taken and not ended.", open_requests),
-                ("registry_entries", "gauge", "Workers in discovery's list.", registry_entries),
-                ("out_of_rotation", "gauge", "Listed workers that get nothing now.", out_of_rotation)):
+            ("relayed_total", "counter", "Attempts written whole to workers.", self.relayed),
+            ("open_requests", "gauge", "Requests taken and not ended.", open_requests),
+            ("registry_entries", "gauge", "Workers in discovery's list.", registry_entries),
+            ("out_of_rotation", "gauge", "Listed workers that get nothing now.", out_of_rotation),
+        ):
             name = f"{PREFIX}_{name}"
             lines += [f"# HELP {name} {told}", f"# TYPE {name} {sort}", f"{name} {value}"]
         return "\n".join([*lines, ""]).encode()
--- a/plumpick/forms.py
+++ b/plumpick/forms.py
@@ -48,7 +48,8 @@
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
         # A customer's terms are the same every time; the cache is bounded, and what is odd raises.
         self._terms = functools.lru_cache(512)(
-            functools.partial(call_terms, gateways=settings.gateways, most_units=settings.max_units))
+            functools.partial(call_terms, gateways=settings.gateways, most_units=settings.max_units)
+        )
 
     def read(self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool) -> Form:
         """The form of a whole request; raises BadRequest."""
@@ -78,8 +79,18 @@
         wait_ms = whole_number(header(headers, b"x-deadline-ms"), 1)
         units, spread, first = self._terms(header(headers, b"x-call-terms"))
         # Nobody is kept waiting for longer than the class allows, however long the client would.
-        return Form(request_id, customer.decode(), kind, plan, min(wait_ms, kind.deadline_ms), units, spread,
-                    first, headers.get(b"x-retry") == b"1", key)
+        return Form(
+            request_id,
+            customer.decode(),
+            kind,
+            plan,
+            min(wait_ms, kind.deadline_ms),
+            units,
+            spread,
+            first,
+            headers.get(b"x-retry") == b"1",
+            key,
+        )
 
 
 def whole_number(text: bytes, least: int, most: float = math.inf) -> int:
@@ -101,8 +112,11 @@
         raise BadRequest("X-Call-Terms cannot be read")
     if not _NUMBER.fullmatch(terms[b"units"]) or not 0 < float(terms[b"units"]) <= most_units:
         raise BadRequest("units are out of range")
-    return (float(terms[b"units"]), whole_number(terms[b"spread"], 1, gateways),
-            whole_number(terms[b"first"], 0, gateways - 1))
+    return (
+        float(terms[b"units"]),
+        whole_number(terms[b"spread"], 1, gateways),
+        whole_number(terms[b"first"], 0, gateways - 1),
+    )
 
 
 def header(headers: Mapping[bytes, bytes], name: bytes) -> bytes:
--- a/plumpick/gatekeeper.py
+++ b/plumpick/gatekeeper.py
@@ -15,8 +15,27 @@
 from anisefront import succession
 from anisefront.control import Controller
 from anisefront.interface import (
-    Action, Arrival, Cancel, ClientGone, Event, Fail, Fleet, Heard, Outcome, Parted, Probe, Refuse, Result,
-    Send, Started, State, Subscribe, Tell, Wake, Whole, Woken,
+    Action,
+    Arrival,
+    Cancel,
+    ClientGone,
+    Event,
+    Fail,
+    Fleet,
+    Heard,
+    Outcome,
+    Parted,
+    Probe,
+    Refuse,
+    Result,
+    Send,
+    Started,
+    State,
+    Subscribe,
+    Tell,
+    Wake,
+    Whole,
+    Woken,
 )
 from plumpick.admission import HARD_PART, SWEEP_MS, Admission
 from plumpick.clients import ClientConnection
@@ -46,11 +65,30 @@
 class Request:
     """An open request."""
 
-    __slots__ = ("id", "name", "kind", "client", "message", "body", "upload", "wait_ms", "sends", "passing",
-                 "guard")
-
-    def __init__(self, number: int, name: bytes, kind: str, client: ClientConnection, message: bytes,
-                 body: bytes, wait_ms: float) -> None:
+    __slots__ = (
+        "id",
+        "name",
+        "kind",
+        "client",
+        "message",
+        "body",
+        "upload",
+        "wait_ms",
+        "sends",
+        "passing",
+        "guard",
+    )
+
+    def __init__(
+        self,
+        number: int,
+        name: bytes,
+        kind: str,
+        client: ClientConnection,
+        message: bytes,
+        body: bytes,
+        wait_ms: float,
+    ) -> None:
         self.id, self.name, self.kind, self.client = number, name, kind, client
         self.message, self.body, self.upload, self.wait_ms = message, body, client.upload, wait_ms
         self.sends = 0
@@ -61,8 +99,9 @@
 class Gatekeeper:
     """One gatekeeper: the module, its open requests, and the ways to clients, workers and peers."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop,
-                 controller: Controller | None = None) -> None:
+    def __init__(
+        self, config: Config, loop: asyncio.AbstractEventLoop, controller: Controller | None = None
+    ) -> None:
         self.config, self.settings, self.loop = config, config.settings, loop
         self.clock = Clock()
         self.alarms = Alarms(loop, self.clock)
@@ -70,10 +109,16 @@
         self.figures = Figures(kind.name for kind in config.settings.classes)
         self.other: Callable[[int, bytes], None] | None = None  # tells the other process of this gatekeeper
         self.move: Callable[[ClientConnection], None] | None = None  # hands a connection over to it
-        self.workers = Workers(loop, self.clock, self.alarms, self.figures, idle_ms=config.idle_ms,
-                               dial_timeout_ms=config.dial_timeout_ms,
-                               max_connections=int(shared_out(config.sockets) * WORKER_PART),
-                               report_fields=config.settings.report_fields)
+        self.workers = Workers(
+            loop,
+            self.clock,
+            self.alarms,
+            self.figures,
+            idle_ms=config.idle_ms,
+            dial_timeout_ms=config.dial_timeout_ms,
+            max_connections=int(shared_out(config.sockets) * WORKER_PART),
+            report_fields=config.settings.report_fields,
+        )
         self.peers = Peers(config, self.heard)
         self.admission = Admission(shared_out(config.sockets))
         self.forms = Forms(config.settings)
@@ -87,8 +132,15 @@
         self._end_ms = math.inf  # until then all that comes has to be answered
         self._making_room, self._log_fault_ms = False, 0.0
         self._carry: dict[type[Any], Callable[[Any], None]] = {
-            Send: self._send, Refuse: self._refuse, Fail: self._fail, Cancel: self._cancel, Wake: self._wake,
-            Tell: self._tell, Probe: self._ignore, Subscribe: self._ignore}
+            Send: self._send,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Cancel: self._cancel,
+            Wake: self._wake,
+            Tell: self._tell,
+            Probe: self._ignore,
+            Subscribe: self._ignore,
+        }
         self.alarms.at(self.clock.now() + SWEEP_MS, self._sweep)
         self.alarms.at(self.clock.now() + REMEMBER_MS, self._forget_names)
 
@@ -205,8 +257,20 @@
         if upload is None:
             request.guard = self.alarms.at(due_ms - GUARD_MS, lambda: self._overdue(request))
             self.admission.asked(client)
-        self.notice(Arrival(request.id, form.customer, form.kind.name, form.plan, due_ms - MARGIN_MS,
-                            form.units, form.first, form.spread, form.is_repeat, upload is None))
+        self.notice(
+            Arrival(
+                request.id,
+                form.customer,
+                form.kind.name,
+                form.plan,
+                due_ms - MARGIN_MS,
+                form.units,
+                form.first,
+                form.spread,
+                form.is_repeat,
+                upload is None,
+            )
+        )
         return request
 
     def _due(self, now: float, wait_ms: float) -> float:
@@ -242,8 +306,15 @@
                 attempt.lapse()
         return True
 
-    def _finish(self, request: Request, how: str, status: int, body: bytes = b"", kind: bytes = b"",
-                retry_in_ms: float = 0.0) -> bool:
+    def _finish(
+        self,
+        request: Request,
+        how: str,
+        status: int,
+        body: bytes = b"",
+        kind: bytes = b"",
+        retry_in_ms: float = 0.0,
+    ) -> bool:
         """The one final answer, and the one place where it is counted; False if it went out before."""
         if not self._close(request):
             return False
@@ -272,13 +343,15 @@
         upload = request.upload
         allow_ms = action.allow_ms if upload is None or upload.whole else request.wait_ms
         message = b"%s%d\r\n\r\n%s" % (request.message, max(1, int(allow_ms)), request.body)
-        attempt = Attempt(request.id, number, action.server, message, upload, self._ended, self._begun,
-                          action.until_ms)
+        attempt = Attempt(
+            request.id, number, action.server, message, upload, self._ended, self._begun, action.until_ms
+        )
         self.attempts[request.id, number] = attempt
         self.workers.start(attempt, action.allow_ms)
 
-    def _begun(self, attempt: Attempt, source: WorkerConnection, length: int | None,
-               kind: bytes) -> ClientConnection | None:
+    def _begun(
+        self, attempt: Attempt, source: WorkerConnection, length: int | None, kind: bytes
+    ) -> ClientConnection | None:
         """A large answer begins to be passed on; not where the request has ended, or another answers."""
         request = self.open.get(attempt.request_id)
         if request is None or request.passing is not None:
@@ -299,8 +372,9 @@
         else:
             request.client.break_answer()
 
-    def _ended(self, attempt: Attempt, result: Result, body: bytes, kind: bytes,
-               load: tuple[float, ...]) -> None:
+    def _ended(
+        self, attempt: Attempt, result: Result, body: bytes, kind: bytes, load: tuple[float, ...]
+    ) -> None:
         """One attempt has its outcome. The first good one is the request's final answer."""
         del self.attempts[attempt.request_id, attempt.number]
         request = self.open.get(attempt.request_id)
@@ -311,8 +385,17 @@
         elif request is not None and request.passing is None and result is Result.OK:
             final = self._finish(request, FULFILLED, 200, body, kind)
         ended_ms = attempt.answered_ms or self.clock.now()  # of a large answer the first bytes count
-        self.notice(Outcome(attempt.request_id, attempt.number, attempt.worker,
-                            ended_ms - attempt.started_ms, result, final, load=load))
+        self.notice(
+            Outcome(
+                attempt.request_id,
+                attempt.number,
+                attempt.worker,
+                ended_ms - attempt.started_ms,
+                result,
+                final,
+                load=load,
+            )
+        )
 
     def _refuse(self, action: Refuse) -> None:
         request = self.open.get(action.id)
@@ -349,21 +432,25 @@
     def figures_text(self) -> bytes:
         """The figures as they stand now."""
         listed, avoided = self.controller.rotation(self.clock.now())
-        return self.figures.text(open_requests=len(self.open), registry_entries=listed,
-                                 out_of_rotation=avoided)
+        return self.figures.text(
+            open_requests=len(self.open), registry_entries=listed, out_of_rotation=avoided
+        )
 
     # -- another process of this gatekeeper
 
-    def leave_service(self, tell: Callable[[int, bytes], None],
-                      move: Callable[[ClientConnection], None]) -> dict[str, Any]:
+    def leave_service(
+        self, tell: Callable[[int, bytes], None], move: Callable[[ClientConnection], None]
+    ) -> dict[str, Any]:
         """Leave it to the next process, with all that it has to know; what is open here stays."""
         self.ready, self.other, self.move = False, tell, move
         self.peers.stop_listening()
         self.workers.hang_up()
         self.workers.limit(self.workers.connections)
         names = self._names | self._ended_names[0] | self._ended_names[1]
-        return {"names": [name.decode() for name in names],
-                "module": succession.leave(self.controller, self.clock.now())}
+        return {
+            "names": [name.decode() for name in names],
+            "module": succession.leave(self.controller, self.clock.now()),
+        }
 
     def take_over(self, state: dict[str, Any], tell: Callable[[int, bytes], None], sockets: int) -> None:
         """Go on with what the process before has left; it still holds all descriptors but `sockets`."""
--- a/plumpick/handover.py
+++ b/plumpick/handover.py
@@ -154,8 +154,11 @@
         elif kind == b"G" and self._answer is not None and not self._answer.done():
             self._succeed(fds)
         elif kind == b"C" and fds:
-            self._spawn(self._loop.connect_accepted_socket(
-                lambda: ClientConnection(self._keeper, moved=True), socket.socket(fileno=fds.pop())))
+            self._spawn(
+                self._loop.connect_accepted_socket(
+                    lambda: ClientConnection(self._keeper, moved=True), socket.socket(fileno=fds.pop())
+                )
+            )
         elif kind == b"H":
             self._keeper.notice(Heard(struct.unpack("<H", data[:2])[0], data[2:]))
         for fd in fds:
@@ -206,8 +209,9 @@
     async def _serve(self) -> None:
         """Accept clients, and wait for the process that follows."""
         assert self._listener is not None
-        self._server = await self._loop.create_server(lambda: ClientConnection(self._keeper),
-                                                      sock=self._listener.dup(), backlog=BACKLOG)
+        self._server = await self._loop.create_server(
+            lambda: ClientConnection(self._keeper), sock=self._listener.dup(), backlog=BACKLOG
+        )
         if self._config.private_folder:
             self._wait_for_next()
 
@@ -277,7 +281,7 @@
         state["held"] = len(os.listdir("/proc/self/fd"))
         text = json.dumps(state).encode()
         for start in range(0, len(text), PART):
-            link.send(b"S" + text[start:start + PART])
+            link.send(b"S" + text[start : start + PART])
         plugs = [plug for plug in (self._listener, self._keeper.peers.socket) if plug is not None]
         link.send(b"G", [os.dup(plug.fileno()) for plug in plugs])
         self._keeper.move_idle()
--- a/plumpick/peers.py
+++ b/plumpick/peers.py
@@ -37,8 +37,9 @@
 
     def __init__(self, config: Config, heard: Callable[[int, bytes], None]) -> None:
         self._config, self._heard = config, heard
-        self._numbers = {address: number for number, address in enumerate(config.peers)
-                         if number != config.settings.number}
+        self._numbers = {
+            address: number for number, address in enumerate(config.peers) if number != config.settings.number
+        }
         self._loop: asyncio.AbstractEventLoop | None = None
         self._socket: socket.socket | None = None
 
--- a/plumpick/workers.py
+++ b/plumpick/workers.py
@@ -49,11 +49,35 @@
 
     An answer too large to be held goes to the client that `begin` names, as it comes."""
 
-    __slots__ = ("request_id", "number", "worker", "message", "upload", "started_ms", "answered_ms", "done",
-                 "begin", "until_ms", "connection", "dial", "alarm", "dial_alarm", "until_alarm")
-
-    def __init__(self, request_id: int, number: int, worker: str, message: bytes, upload: Upload | None,
-                 done: Done, begin: Begin, until_ms: float = math.inf) -> None:
+    __slots__ = (
+        "request_id",
+        "number",
+        "worker",
+        "message",
+        "upload",
+        "started_ms",
+        "answered_ms",
+        "done",
+        "begin",
+        "until_ms",
+        "connection",
+        "dial",
+        "alarm",
+        "dial_alarm",
+        "until_alarm",
+    )
+
+    def __init__(
+        self,
+        request_id: int,
+        number: int,
+        worker: str,
+        message: bytes,
+        upload: Upload | None,
+        done: Done,
+        begin: Begin,
+        until_ms: float = math.inf,
+    ) -> None:
         self.request_id, self.number, self.worker, self.message = request_id, number, worker, message
         self.upload = upload  # what of the request is still to come
         self.done: Done | None = done
@@ -356,16 +380,24 @@
         self.dialling: list[Attempt] = []
 
     def is_same_process(self, entry: Entry) -> bool:
-        return (self.entry.address == entry.address
-                and self.entry.server.started_ms == entry.server.started_ms)
+        return self.entry.address == entry.address and self.entry.server.started_ms == entry.server.started_ms
 
 
 class Workers:
     """The workers that discovery has named, by name."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, alarms: Alarms, figures: Figures, *,
-                 idle_ms: float, dial_timeout_ms: float, max_connections: int,
-                 report_fields: tuple[str, ...]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Clock,
+        alarms: Alarms,
+        figures: Figures,
+        *,
+        idle_ms: float,
+        dial_timeout_ms: float,
+        max_connections: int,
+        report_fields: tuple[str, ...],
+    ) -> None:
         self._loop, self.clock, self._alarms, self.figures = loop, clock, alarms, figures
         self.passing: set[WorkerConnection] = set()  # whose bodies or answers are passed on as they come
         self._idle_ms, self._dial_ms = idle_ms * IDLE_PART, dial_timeout_ms
@@ -402,8 +434,9 @@
         for entry in news.entries:
             name = entry.server.id
             worker = self._known.get(name)
-            if worker is not None and (entry.server.state is not State.READY
-                                       or not worker.is_same_process(entry)):
+            if worker is not None and (
+                entry.server.state is not State.READY or not worker.is_same_process(entry)
+            ):
                 self._retire(self._known.pop(name))
                 worker = None
             if worker is not None:
@@ -452,11 +485,13 @@
             worker.connections += 1
             self._connections += 1
             worker.dialling.append(attempt)
-            attempt.dial_alarm = self._alarms.at(now + self._dial_ms,
-                                                 lambda: attempt.end(Result.CONNECT_FAILED))
+            attempt.dial_alarm = self._alarms.at(
+                now + self._dial_ms, lambda: attempt.end(Result.CONNECT_FAILED)
+            )
             connection = WorkerConnection(self, worker)
             attempt.dial = self._loop.create_task(
-                self._loop.create_connection(lambda: connection, *worker.entry.address))
+                self._loop.create_connection(lambda: connection, *worker.entry.address)
+            )
             attempt.dial.add_done_callback(functools.partial(self._dialled, worker, attempt, connection))
 
     def allow(self, attempt: Attempt, allow_ms: float) -> None:
@@ -473,8 +508,9 @@
             connection.abandon()
         return None
 
-    def _dialled(self, worker: Worker, attempt: Attempt, connection: WorkerConnection,
-                 dial: asyncio.Task[Any]) -> None:
+    def _dialled(
+        self, worker: Worker, attempt: Attempt, connection: WorkerConnection, dial: asyncio.Task[Any]
+    ) -> None:
         """A connection has come up, or has not. Called for a cancelled task too, even one never begun."""
         worker.dialling.remove(attempt)
         attempt.dial = None
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -25,22 +25,48 @@
 
 def settings(**limits):
     return {
-        "balancers": 3, "myNumber": 0, "locality": "a", "tickMs": 4.0,
+        "balancers": 3,
+        "myNumber": 0,
+        "locality": "a",
+        "tickMs": 4.0,
         "classes": [
             {"name": "look", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "retryable"},
-            {"name": "book", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "dedup",
-             "keyScope": "zone", "dedupWindowMs": 9e3},
-            {"name": "debit", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "fragile"}],
+            {
+                "name": "book",
+                "aimMs": 5e3,
+                "deadlineMs": 2e4,
+                "worth": 1.0,
+                "repeat": "dedup",
+                "keyScope": "zone",
+                "dedupWindowMs": 9e3,
+            },
+            {"name": "debit", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "fragile"},
+        ],
         "packages": [{"name": "basic", "perSecond": 50.0, "storeSize": 100.0}],
-        "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True, "dialTimeoutMs": 250.0,
-                   "connIdleMs": 30000.0, **limits},
+        "limits": {
+            "maxAttempts": 3,
+            "cancel": True,
+            "mayTell": True,
+            "dialTimeoutMs": 250.0,
+            "connIdleMs": 30000.0,
+            **limits,
+        },
         "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
-        "report": {"fields": ["util", "latency_ms"], "how": "answers"}}
+        "report": {"fields": ["util", "latency_ms"], "how": "answers"},
+    }
 
 
 def entry(name, port, status="ready", since_ms=0):
-    return {"name": name, "address": f"{HOST}:{port}", "zone": "a", "type": "m", "group": 0, "status": status,
-            "weight": 1.0, "since_ms": since_ms}
+    return {
+        "name": name,
+        "address": f"{HOST}:{port}",
+        "zone": "a",
+        "type": "m",
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": since_ms,
+    }
 
 
 def listing(*entries, index=1, snapshot=True):
@@ -49,9 +75,15 @@
 
 def config(discovery_port=9, listen_port=1, known=(), **more):
     """A configuration in the platform's form."""
-    value = {"name": "n0", "listen": f"{HOST}:{listen_port}", "discovery": f"{HOST}:{discovery_port}",
-             "seed": "8c1f30d27a5be964", "limits": {"sockets": 256}, "known": listing(*known),
-             "settings": settings()}
+    value = {
+        "name": "n0",
+        "listen": f"{HOST}:{listen_port}",
+        "discovery": f"{HOST}:{discovery_port}",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 256},
+        "known": listing(*known),
+        "settings": settings(),
+    }
     value.update(more)
     return value
 
@@ -100,7 +132,8 @@
 
     async def __aenter__(self):
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: ClientConnection(self.keeper), HOST, 0)
+            lambda: ClientConnection(self.keeper), HOST, 0
+        )
         self.port = self.server.sockets[0].getsockname()[1]
         self.door = Door(self.keeper)
         await self.door.open((HOST, 0))
@@ -116,7 +149,7 @@
         return await Client().open(self.port)
 
 
-_ids = itertools.count(0xaa)
+_ids = itertools.count(0xAA)
 
 
 def request(request_id=None, path="/look", key=None, body=b"", deadline=10_000, extra=""):
@@ -124,10 +157,14 @@
     request_id = f"{next(_ids):016x}" if request_id is None else request_id
     method = "POST" if body or key else "GET"
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
-    return (f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {request_id}\r\nX-Tier: basic\r\n"
-            f"X-Api-Key: 00000000b4d65521\r\nX-Deadline-Ms: {deadline}\r\n"
-            f"X-Call-Terms: units=1,spread=2,first=0\r\n{length}"
-            + (f"Idempotency-Key: {key}\r\n" if key else "") + extra + "\r\n").encode() + body
+    return (
+        f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {request_id}\r\nX-Tier: basic\r\n"
+        f"X-Api-Key: 00000000b4d65521\r\nX-Deadline-Ms: {deadline}\r\n"
+        f"X-Call-Terms: units=1,spread=2,first=0\r\n{length}"
+        + (f"Idempotency-Key: {key}\r\n" if key else "")
+        + extra
+        + "\r\n"
+    ).encode() + body
 
 
 class Message:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,7 +10,11 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 INFO = {
-    "balancers": 2, "myNumber": 0, "locality": "a", "tickMs": 4.0, "unheard": {"of": 1},
+    "balancers": 2,
+    "myNumber": 0,
+    "locality": "a",
+    "tickMs": 4.0,
+    "unheard": {"of": 1},
     "classes": [{"name": "look", "aimMs": 500.0, "deadlineMs": 2000.0, "worth": 1.0, "repeat": "retryable"}],
     "packages": [{"name": "basic", "perSecond": 5.0, "storeSize": 10.0}],
     "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True},
@@ -27,30 +31,34 @@
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     assert command == "exec .venv/bin/python -m anisefront.simhost"
     command = command.replace(".venv/bin/python", sys.executable)
-    return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True,
-                          capture_output=True)
+    return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True, capture_output=True)
 
 
 def test_a_request_is_sent_on_and_the_end_of_input_exits_0():
-    done = sim("SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
-               "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
-               "SYNC\t1050\nSWITCH_TO\t0\nVERDICT\t5\t0\t0\tw:1\t40\tok\t1\t0\t-\nYOUR_TURN\n")
+    done = sim(
+        "SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
+        "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
+        "SYNC\t1050\nSWITCH_TO\t0\nVERDICT\t5\t0\t0\tw:1\t40\tok\t1\t0\t-\nYOUR_TURN\n"
+    )
     assert done.returncode == 0 and done.stderr == ""
     replies = done.stdout.split("FINISHED\n")
     assert replies[0] == "" and "HAND_OFF\t5\tw:1\t" in replies[2] and len(replies) == 5
 
 
-@pytest.mark.parametrize("line, names", [
-    ("REQUEST\t5\t0\t2\t1\tsoon\t0\tff\tlook\tbasic", ("REQUEST", "dueMs")),
-    ("REQUEST\t5\t0", ("REQUEST", "fields")),
-    ("REQUEST\t-5\t0\t2\t1\t2500\t0\tff\tlook\tbasic", ("REQUEST", "requestId")),
-    ("VERDICT\t5\t0\t0\tw:1\t40\tgreat\t1\t0\t-", ("VERDICT", "result")),
-    ("VERDICT\t5\t0\t0\tw:1\tnan\tok\t1\t0\t-", ("VERDICT", "rttMs")),
-    ("FROM_PEER\t1\txyz", ("FROM_PEER", "data")),
-    ("FLEET\tsome\t1\t0", ("FLEET", "mode")),
-    ("FLEET\tfull\t1\t2\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("FLEET", "rows")),
-    ("WORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("WORKER", "place")),
-])
+@pytest.mark.parametrize(
+    "line, names",
+    [
+        ("REQUEST\t5\t0\t2\t1\tsoon\t0\tff\tlook\tbasic", ("REQUEST", "dueMs")),
+        ("REQUEST\t5\t0", ("REQUEST", "fields")),
+        ("REQUEST\t-5\t0\t2\t1\t2500\t0\tff\tlook\tbasic", ("REQUEST", "requestId")),
+        ("VERDICT\t5\t0\t0\tw:1\t40\tgreat\t1\t0\t-", ("VERDICT", "result")),
+        ("VERDICT\t5\t0\t0\tw:1\tnan\tok\t1\t0\t-", ("VERDICT", "rttMs")),
+        ("FROM_PEER\t1\txyz", ("FROM_PEER", "data")),
+        ("FLEET\tsome\t1\t0", ("FLEET", "mode")),
+        ("FLEET\tfull\t1\t2\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("FLEET", "rows")),
+        ("WORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("WORKER", "place")),
+    ],
+)
 def test_what_cannot_be_read_is_named_and_ends_the_process(line, names):
     done = sim(start() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
     assert done.returncode != 0 and "Traceback" not in done.stderr
@@ -75,11 +83,18 @@
     return info
 
 
-@pytest.mark.parametrize("path, value, name", [
-    (("balancers",), None, "balancers"), (("rules", "coldFrom"), None, "coldFrom"),
-    (("classes", 0, "repeat"), "never", "repeat"), (("packages", 0, "perSecond"), -1, "rate_per_s"),
-    (("classes",), [], "classes"), (("limits", "maxAttempts"), "six", "maxAttempts"),
-    (("rules",), 3, "rules")])
+@pytest.mark.parametrize(
+    "path, value, name",
+    [
+        (("balancers",), None, "balancers"),
+        (("rules", "coldFrom"), None, "coldFrom"),
+        (("classes", 0, "repeat"), "never", "repeat"),
+        (("packages", 0, "perSecond"), -1, "rate_per_s"),
+        (("classes",), [], "classes"),
+        (("limits", "maxAttempts"), "six", "maxAttempts"),
+        (("rules",), 3, "rules"),
+    ],
+)
 def test_settings_that_cannot_be_right_are_named(path, value, name):
     done = sim(start(changed(path, value)))
     assert done.returncode != 0 and name in done.stderr and "Traceback" not in done.stderr
@@ -90,6 +105,7 @@
 
     from anisefront import simhost
     from anisefront.control import Controller
+
     monkeypatch.setattr(Controller, "handle", lambda self, now, events: 1 / 0)
     monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(start().encode())))
     out = io.TextIOWrapper(io.BytesIO())
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -52,13 +52,17 @@
     async def whole():
         async with RawWorker() as worker, Gate(script or Script(), known=[entry("w1", worker.port)]) as gate:
             await scenario(worker, gate, await gate.client())
+
     run(whole())
 
 
 def upload(length, extra=""):
     """The head of a request with a large body."""
-    return request(path="/debit", body=b"x").replace(b"Length: 1", b"Length: %d" % length)[:-3] \
-        + extra.encode() + b"\r\n"
+    return (
+        request(path="/debit", body=b"x").replace(b"Length: 1", b"Length: %d" % length)[:-3]
+        + extra.encode()
+        + b"\r\n"
+    )
 
 
 async def until(true):
@@ -95,6 +99,7 @@
         assert outcome.result is Result.OK and outcome.final and not gate.keeper.open
         client.send(request())  # the connection stays
         await gate.script.event(Arrival)
+
     at_gate(scenario)
 
 
@@ -111,17 +116,20 @@
         outcome = await gate.script.event(Outcome)
         assert outcome.result is Result.RESET and outcome.final
         assert gate.keeper.figures.operations["look", "faulted"] == 1
+
     at_gate(scenario)
 
 
 def test_an_answer_without_a_length_ends_with_its_connection():
     """Seen on a day with slow peers: it was taken for a reset."""
+
     async def scenario(worker, gate, client):
         client.send(request())
         _, _, writer = await worker.asked()
         writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall there is")
         writer.close()
         assert (await client.answer())[::2] == (200, b"all there is")
+
     at_gate(scenario)
 
 
@@ -133,7 +141,7 @@
         total = 32 * 1024 * 1024
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % total + bytes(total))
         await gate.script.event(Started)
-        one, = gate.keeper.admission.all
+        (one,) = gate.keeper.admission.all
         await until(lambda: not one.source.transport.is_reading())
         assert one.transport.get_write_buffer_size() < 1024 * 1024
         client.reader._transport.resume_reading()
@@ -142,6 +150,7 @@
         while left:
             left -= len(await client.reader.read(1 << 20))
         assert (await gate.script.event(Outcome)).result is Result.OK
+
     at_gate(scenario)
 
 
@@ -173,6 +182,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         assert (await client.answer())[::2] == (200, b"ok")
         assert gate.keeper.figures.relayed == 1
+
     at_gate(scenario)
 
 
@@ -182,8 +192,8 @@
         client.send(upload(total) + bytes(total))
         _, writer = await worker.calls.get()
         writer.transport.pause_reading()
-        one, = gate.keeper.admission.all
-        attempt, = gate.keeper.attempts.values()
+        (one,) = gate.keeper.admission.all
+        (attempt,) = gate.keeper.attempts.values()
         await until(lambda: attempt.connection and attempt.connection.blocked and one.held_ms)
         assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
         gate.keeper.admission.sweep(gate.keeper.clock.now() + 60_000, False)
@@ -194,6 +204,7 @@
         gate.keeper.workers._sweep()  # but a worker that never takes anything is not waited for without end
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         assert (await client.answer())[0] == 502  # as the script has it
+
     at_gate(scenario)
 
 
@@ -208,6 +219,7 @@
         client.send(bytes(LARGE - 1000) + request())
         assert (await client.answer())[0] == 503
         assert not gate.keeper.open
+
     at_gate(scenario, Refusing())
 
 
@@ -220,11 +232,13 @@
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(LARGE)
         assert not gate.keeper.open and not gate.keeper.attempts
+
     at_gate(scenario)
 
 
 def test_a_client_that_leaves_while_its_body_is_held_back_is_noticed():
     """Nothing is read from it then, and the end of its connection lies behind what it has sent."""
+
     async def scenario(worker, gate, client):
         client.send(upload(LARGE) + bytes(bodies.HELD))
         came = await gate.script.event(Arrival)
@@ -232,6 +246,7 @@
         client.close()
         async with asyncio.timeout(5):
             assert (await gate.script.event(ClientGone)).id == came.id
+
     at_gate(scenario, Script(worker=None))
 
 
@@ -251,8 +266,9 @@
         self.text += data
 
 
-@pytest.mark.parametrize("length, text", [
-    (4, b"head\r\n\r\nbody"), (None, b"head\r\n\r\n4\r\nbody\r\n0\r\n\r\n")])
+@pytest.mark.parametrize(
+    "length, text", [(4, b"head\r\n\r\nbody"), (None, b"head\r\n\r\n4\r\nbody\r\n0\r\n\r\n")]
+)
 def test_a_body_that_was_whole_before_its_worker_goes_to_one_worker_alone(length, text):
     """It was not said to be gone: a further attempt went out with its head and nothing of its body."""
     client, sink = Ends(), Ends()
@@ -280,6 +296,7 @@
         gate.keeper.notice(Woken("hedge"))
         done = await gate.script.event(Outcome)
         assert (done.attempt, done.result) == (1, Result.MOOT) and worker.calls.empty()
+
     at_gate(scenario)
 
 
@@ -291,6 +308,7 @@
         writer.transport.abort()
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         assert (await client.answer())[0] == 502  # as the script has it
+
     at_gate(scenario)
 
 
@@ -299,10 +317,11 @@
     async def scenario(worker, gate, client):
         client.send(upload(200_000) + bytes(4 * per_s - 10))
         await until(lambda: any(one.body_size for one in gate.keeper.admission.all))
-        one, = gate.keeper.admission.all
+        (one,) = gate.keeper.admission.all
         await until(lambda: one.body_size == 4 * per_s - 10 or one.body_size >= 190_000)
         gate.keeper.admission.sweep(gate.keeper.clock.now() + 4000, False)
         assert one.ending is not stays and OWED_MS < 4000
+
     at_gate(scenario)
 
 
@@ -315,6 +334,7 @@
         assert await reader.readexactly(4) == b"body" and "expect" not in head.lower()
         writer.write(b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         assert (await client.answer())[::2] == (200, b"ok")
+
     at_gate(scenario)
 
 
@@ -328,4 +348,5 @@
         gate.keeper.workers._sweep()
         gate.keeper.workers._sweep()  # by now nothing has changed since the last look
         assert (await gate.script.event(Outcome)).result is Result.RESET and not gate.keeper.open
+
     at_gate(scenario)
--- a/tests/test_forms_of_http.py
+++ b/tests/test_forms_of_http.py
@@ -10,12 +10,14 @@
     async def whole():
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)], **more) as gate:
             await scenario(worker, gate, await gate.client())
+
     run(whole())
 
 
 @pytest.mark.parametrize("blank", [" ", "   "])
 def test_blanks_round_a_header_value_are_no_part_of_it(blank):
     """Seen on a day with slow peers: 'X-Tier: basis ' was turned away as no plan, a length as no number."""
+
     async def scenario(worker, _gate, client):
         head, _, body = request(path="/book/1", key="k", body=b"four").decode().partition("\r\n\r\n")
         first, *fields = head.replace(": ", f":{blank}").split("\r\n")
@@ -24,11 +26,13 @@
         assert asked.body == b"four" and asked.headers["idempotency-key"] == "k"
         writer.write(f"HTTP/1.1 200 OK\r\nContent-Length:{blank}2{blank}\r\n\r\nok".encode())
         assert (await client.answer())[::2] == (200, b"ok")
+
     with_worker(scenario)
 
 
 def test_a_large_message_that_is_turned_away_gets_one_answer_and_no_second():
     """Seen there too: behind the 404 of a message longer than a head may be came a 431."""
+
     async def scenario(worker, _gate, client):
         client.send(request(path="/nothing", body=bytes(2 * MAX_HEAD)))
         assert (await client.answer())[0] == 404
@@ -36,4 +40,5 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     with_worker(scenario)
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -35,10 +35,12 @@
 
 def one_worker(scenario, **script):
     """Run a scenario with one worker, w1, one gatekeeper and one client."""
+
     async def whole():
         async with FakeWorker() as worker:
             async with Gate(Script(**script), known=[entry("w1", worker.port)]) as gate:
                 await scenario(worker, gate, await gate.client())
+
     run(whole())
 
 
@@ -57,6 +59,7 @@
         outcome = await gate.script.event(Outcome)
         assert outcome.result is Result.OK and outcome.final and outcome.load == (0.5, 7.0)
         assert not gate.keeper.open and not gate.keeper.attempts
+
     one_worker(scenario)
 
 
@@ -71,6 +74,7 @@
             writer.write(answer())
             assert (await client.answer())[0] == 200
         assert worker.connections == 1
+
     one_worker(scenario)
 
 
@@ -80,22 +84,26 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[1]["connection"] == "close" and await client.ends()
+
     one_worker(scenario)
 
 
-@pytest.mark.parametrize("reply, result", [
-    (answer(500), Result.ERROR),
-    (answer(503), Result.ERROR),
-    (answer(504), Result.ERROR),
-    (answer(429), Result.ERROR),
-    (answer(503, extra="X-Not-Run: 1\r\n"), Result.FULL),
-    (answer(504, extra="X-Not-Run: 1\r\n"), Result.FULL),
-    (answer(500, extra="X-Not-Run: 1\r\n"), Result.ERROR),
-    (b"what is this\r\n\r\n", Result.ERROR),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhalf" % (MAX_BODY + 1), Result.ERROR),
-    (None, Result.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", Result.RESET),
-])
+@pytest.mark.parametrize(
+    "reply, result",
+    [
+        (answer(500), Result.ERROR),
+        (answer(503), Result.ERROR),
+        (answer(504), Result.ERROR),
+        (answer(429), Result.ERROR),
+        (answer(503, extra="X-Not-Run: 1\r\n"), Result.FULL),
+        (answer(504, extra="X-Not-Run: 1\r\n"), Result.FULL),
+        (answer(500, extra="X-Not-Run: 1\r\n"), Result.ERROR),
+        (b"what is this\r\n\r\n", Result.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhalf" % (MAX_BODY + 1), Result.ERROR),
+        (None, Result.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", Result.RESET),
+    ],
+)
 def test_outcomes_follow_the_protocol_and_none_is_passed_on_as_it_is(reply, result):
     async def scenario(worker, gate, client):
         client.send(request())
@@ -107,6 +115,7 @@
         status, _, body = await client.answer()
         assert (status, body) == (502, b"")  # as the script has it
         assert (await gate.script.event(Outcome)).result is result
+
     one_worker(scenario)
 
 
@@ -114,6 +123,7 @@
 @pytest.mark.parametrize("size", (6, 40_000))
 def test_an_answer_without_a_length_that_is_reset_close_behind_its_bytes_is_not_whole(size, ends):
     """Seen on split+brink of brevik-ferries, seed 55: answered with 200 and what had come of the answer."""
+
     async def scenario():
         loop = asyncio.get_running_loop()
         with socket.create_server((HOST, 0)) as server:
@@ -134,6 +144,7 @@
                     assert (told[0], told[2], done.result) == (200, b"x" * size, Result.OK)
                 else:
                     assert done.result is Result.RESET and (told is None or told[0] == 502)
+
     run(scenario())
 
 
@@ -145,11 +156,13 @@
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
             assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+
     run(scenario())
 
 
 def test_a_large_request_that_was_never_whole_at_the_worker_could_not_connect():
     """What the worker closes on while a part of it is still here has not run."""
+
     async def scenario():
         started = asyncio.Event()
 
@@ -166,13 +179,14 @@
             await started.wait()
             while not gate.keeper.attempts:
                 await gate.script.came.wait()
-            attempt, = gate.keeper.attempts.values()
+            (attempt,) = gate.keeper.attempts.values()
             while attempt.connection is None:
                 await asyncio.sleep(0)
             attempt.connection.pause_writing()  # as the transport tells it while bytes are left
             loop.call_soon(started.writer.transport.abort)
             assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         server.close()
+
     run(scenario())
 
 
@@ -180,6 +194,7 @@
     async def scenario(worker, gate, client):
         assert (await client.send(request()).answer())[0] == 502
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+
     one_worker(scenario, worker="w9")
 
 
@@ -190,6 +205,7 @@
         assert (await client.answer())[0] == 502
         assert (await gate.script.event(Outcome)).result is Result.TIMEOUT
         assert (await worker.asked())[0] is None  # the end of the connection
+
     one_worker(scenario, allow_ms=30.0)
 
 
@@ -197,14 +213,20 @@
     async def scenario():
         loop = asyncio.get_running_loop()
         async with Gate(Script(), known=[entry("w1", 9)]) as gate:
+
             async def never(*_):
                 await loop.create_future()
-            gate.keeper.workers._loop = type("Loop", (), {
-                "create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)})
+
+            gate.keeper.workers._loop = type(
+                "Loop",
+                (),
+                {"create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)},
+            )
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
             assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
             assert gate.keeper.workers._connections == 0
+
     run(scenario())
 
 
@@ -224,6 +246,7 @@
         _, writer = await worker.asked()
         writer.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
+
     one_worker(scenario)
 
 
@@ -244,6 +267,7 @@
         _, writer = await worker.asked()
         writer.write(answer(body=b"third"))
         assert (await client.answer())[2] == b"third"
+
     one_worker(scenario)
 
 
@@ -252,6 +276,7 @@
         gate.script.to_do = [Send(77, "w1", 100.0)]
         gate.keeper.notice(Woken("late"))
         assert (await gate.script.event(Outcome)).result is Result.MOOT and worker.connections == 0
+
     one_worker(scenario)
 
 
@@ -262,12 +287,14 @@
         came = await gate.script.event(Arrival)
         client.close()
         assert (await gate.script.event(ClientGone)).id == came.id and not gate.keeper.open
+
     one_worker(scenario)
 
 
 def test_a_client_that_sends_much_behind_its_request_and_leaves_is_told_to_the_module():
     """The bytes behind it were left unread, and so was the end of the connection behind them: its request
     went out when its turn came, though nobody waited for it any more."""
+
     async def scenario(worker, gate, client):
         client.send(request() + b"x" * (4 << 20))
         came = await gate.script.event(Arrival)
@@ -277,15 +304,17 @@
         gate.script.to_do = [Send(came.id, "w1", 9000.0)]
         gate.keeper.notice(Woken("its turn"))
         assert (await gate.script.event(Outcome)).result is Result.MOOT and worker.connections == 0
+
     one_worker(scenario, worker=None)
 
 
 def test_a_client_that_leaves_with_an_earlier_answer_unread_is_told_to_the_module():
     """The connection's end was told once all was written, which may be never, and the request went out."""
+
     async def scenario(worker, gate, client):
         client.send(request())
         came = await gate.script.event(Arrival)
-        connection, = gate.keeper.admission.all
+        (connection,) = gate.keeper.admission.all
         client.reader._transport.pause_reading()
         connection.transport.write(bytes(16 << 20))
         client.writer.write_eof()
@@ -293,6 +322,7 @@
             assert (await gate.script.event(ClientGone)).id == came.id
             while gate.keeper.admission.all:  # and its descriptor is free after a while
                 await asyncio.sleep(0.01)
+
     one_worker(scenario, worker=None)
 
 
@@ -314,6 +344,7 @@
         assert (done.id, done.result, done.final) == (came.id, Result.MOOT, True)
         assert (await gate.script.event(ClientGone)).id == came.id
         assert worker.requests.empty() and not gate.keeper.attempts
+
     one_worker(scenario)
 
 
@@ -321,12 +352,13 @@
     async def scenario(worker, gate, client):
         client.send(request(path="/debit", body=bytes(60_000)))
         await worker.asked()
-        attempt, = gate.keeper.attempts.values()
+        (attempt,) = gate.keeper.attempts.values()
         attempt.connection.pause_writing()  # as the transport tells it while bytes are left
         client.close()
         done = await gate.script.event(Outcome)
         assert (done.result, done.final) == (Result.MOOT, True)
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
@@ -336,11 +368,13 @@
         assert status == 504
         came = await gate.script.event(Arrival)
         assert (await gate.script.event(ClientGone)).id == came.id
+
     one_worker(scenario, worker=None)
 
 
 def test_wake_ups_due_within_one_tick_take_one_turn_and_are_never_early():
     """Seen in a profile of a calm day: timers fired 1723 times in 3686 turns of the module."""
+
     async def scenario(worker, gate, client):
         keeper, times = gate.keeper, []
         keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
@@ -348,6 +382,7 @@
         for after_ms in (0.0, 0.5, 4.0, 4.5):
             keeper._wake(Wake(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
+
     one_worker(scenario)
 
 
@@ -355,22 +390,36 @@
     async def scenario(worker, gate, client):
         gate.script.handle = lambda now, events: 1 / 0
         assert (await client.send(request(deadline=60)).answer())[0] == 504
+
     one_worker(scenario)
 
 
 # ---- connections to workers ---------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-    b"HTTP/1.1 100 Continue\r\n\r\n" * 1000,
-    b"HTTP/1.1 103 Early Hints\r\nLink: " + b"x" * 2000 + b"\r\n\r\n",
-    b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
-], ids=["two lengths", "length and chunks", "below nothing", "3 GB", "chunks", "1xx", "large 1xx", "upgrade"])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        b"HTTP/1.1 100 Continue\r\n\r\n" * 1000,
+        b"HTTP/1.1 103 Early Hints\r\nLink: " + b"x" * 2000 + b"\r\n\r\n",
+        b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
+    ],
+    ids=[
+        "two lengths",
+        "length and chunks",
+        "below nothing",
+        "3 GB",
+        "chunks",
+        "1xx",
+        "large 1xx",
+        "upgrade",
+    ],
+)
 def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_ends(spoilt):
     async def scenario(worker, gate, client):
         client.send(request())
@@ -384,15 +433,17 @@
         assert outcome.result().result is Result.ERROR
         assert (await client.answer())[0] == 502
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
 def test_what_waits_on_a_kept_connection_is_not_taken_for_the_next_answer():
     """The second copy is there, and the loop has not read it, when the next request goes out."""
+
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
         workers = gate.keeper.workers
-        connection, = workers._known["w1"].idle
+        (connection,) = workers._known["w1"].idle
         connection.idle_since_ms -= REST_MS
         connection.transport.pause_reading()  # as if the loop had not come to it
         writer.write(answer(body=b"twice"))
@@ -403,24 +454,28 @@
         _, other = ended if ended[0] is not None else again
         other.write(answer(body=b"own"))
         assert (await client.answer())[2] == b"own" and worker.connections == 2
+
     one_worker(scenario)
 
 
 def test_a_connection_rests_before_it_is_used_again():
     """What a worker sends right behind its answer may come a moment later."""
+
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         workers = gate.keeper.workers
-        connection, = workers._known["w1"].idle
+        (connection,) = workers._known["w1"].idle
         since = connection.idle_since_ms
         assert workers._kept(connection.worker, since + 9.9) is None
         assert workers._kept(connection.worker, since + 10.1) is connection
+
     one_worker(scenario)
 
 
 def test_a_second_answer_some_milliseconds_late_is_no_other_requests_answer():
     """Seen: of 100 uses of a kept connection 1 or 2 came 2 to 5 ms after its answer, and second answers come
     1 to 4 ms late."""
+
     async def scenario(worker, gate, client):
         now_ms = gate.keeper.clock.now()
         gate.keeper.workers.clock = type("Still", (), {"now": staticmethod(lambda: now_ms)})
@@ -435,6 +490,7 @@
         writer.write(answer(body=b"other"))
         assert (await client.answer())[2] == b"other"
         assert (await worker.asked())[0] is None  # the connection that it came on has ended
+
     one_worker(scenario)
 
 
@@ -448,11 +504,13 @@
         outcome = await gate.script.event(Outcome)
         assert outcome.result is Result.OK and outcome.load == (0.5, 7.0)
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
 def test_a_new_worker_at_the_address_of_an_old_one_takes_its_place():
     """Else what is sent under the old name comes to the new process, on connections of the old one."""
+
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         await gate.script.event(Fleet)
@@ -462,6 +520,7 @@
         assert [(one.id, one.state) for one in fleet.servers] == [("w2", State.READY), ("w1", State.GONE)]
         assert (await worker.asked())[0] is None and list(gate.keeper.workers._known) == ["w2"]
         assert (await client.send(request()).answer())[0] == 502  # the script still names w1
+
     one_worker(scenario)
 
 
@@ -482,6 +541,7 @@
             await asyncio.sleep(0)
         await exchange(worker, client)
         assert worker.connections == 2
+
     one_worker(scenario)
 
 
@@ -494,6 +554,7 @@
         assert (await worker.asked())[0] is None
         await exchange(worker, client)
         assert worker.connections == 2
+
     one_worker(scenario)
 
 
@@ -503,6 +564,7 @@
         _, writer = await worker.asked()
         writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + answer(body=b"real"))
         assert (await client.answer())[::2] == (200, b"real")
+
     one_worker(scenario)
 
 
@@ -513,6 +575,7 @@
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
         gate.keeper.listed(worker_list_from(news, "list"))
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
@@ -524,6 +587,7 @@
         assert (await client.send(request()).answer())[0] == 502
         fleets = [await gate.script.event(Fleet) for _ in range(2)]
         assert fleets[1] == Fleet((), complete=True)
+
     one_worker(scenario)
 
 
@@ -535,9 +599,16 @@
         opened.set()
         await go.wait()
         return await loop.create_connection(factory, host, port)
-    gate.keeper.workers._loop = type("Loop", (), {
-        "create_task": staticmethod(loop.create_task), "create_connection": staticmethod(slow),
-        "call_soon": staticmethod(loop.call_soon)})
+
+    gate.keeper.workers._loop = type(
+        "Loop",
+        (),
+        {
+            "create_task": staticmethod(loop.create_task),
+            "create_connection": staticmethod(slow),
+            "call_soon": staticmethod(loop.call_soon),
+        },
+    )
     return opened, go
 
 
@@ -545,6 +616,7 @@
 def test_an_attempt_that_waits_for_a_connection_ends_with_its_request(end):
     """Where calling off is not allowed, or the guard answered in the module's place, it went out once the
     connection was up, for a client that had left."""
+
     async def scenario(worker, gate, client):
         deadline = 60 if end == "the guard answers" else 10_000
         if end == "another copy answers":
@@ -571,6 +643,7 @@
         while gate.keeper.workers._connections > len(gate.keeper.workers._known["w1"].idle):
             await asyncio.sleep(0)
         assert worker.requests.empty() and not gate.keeper.attempts
+
     one_worker(scenario)
 
 
@@ -585,6 +658,7 @@
         assert (await client.answer())[0] == 502
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         assert worker.requests.empty() and gate.keeper.workers._connections == 0
+
     one_worker(scenario)
 
 
@@ -598,6 +672,7 @@
 def test_an_attempt_whose_time_to_be_out_passes_while_it_waits_for_a_connection_is_not_written(comes_up):
     """Seen on zone+brink+mass, seed 53: a keyed request was sent again 47 ms before the end of its window,
     its connection came up 188 ms later, and it was written all the same."""
+
     async def scenario(worker, gate, client):
         opened, go = hold_dials(gate)
         until_ms = limit(gate, 5_000 if comes_up else 20)
@@ -611,6 +686,7 @@
         assert gate.keeper.workers._connections == 0
         if comes_up:
             assert (await worker.asked())[0] is None  # the connection ended, and nothing came on it
+
     one_worker(scenario)
 
 
@@ -623,6 +699,7 @@
         await gate.script.event(Outcome)
         assert (await gate.script.event(Outcome)).result is Result.MOOT
         assert worker.requests.empty() and worker.connections == 1
+
     one_worker(scenario)
 
 
@@ -632,7 +709,7 @@
         limit(gate, 200)
         client.send(request(path="/debit", body=bytes(60_000)))
         _, writer = await worker.asked()
-        attempt, = gate.keeper.attempts.values()
+        (attempt,) = gate.keeper.attempts.values()
         if blocked:
             attempt.connection.pause_writing()  # as the transport tells it while bytes are left
             assert (await worker.asked())[0] is None  # the end of the connection
@@ -641,6 +718,7 @@
             writer.write(answer())
             assert (await client.answer())[0] == 200
         assert (await gate.script.event(Outcome)).result is result
+
     one_worker(scenario)
 
 
@@ -654,6 +732,7 @@
         assert (await other.send(request()).answer())[0] == 502
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         assert worker.connections == 1
+
     one_worker(scenario)
 
 
@@ -665,13 +744,24 @@
         workers.clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
         workers._sweep()  # of 30 s the worker allows, 18 s less a sweep are used
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
-@pytest.mark.parametrize("text", ["", "no json", '{"util":-1,"latency_ms":1}',
-                                  '{"util":0.5,"latency_ms":1e308}',
-                                  "[1,2]", '{"util":0.5}', '{"util":"x","latency_ms":1}',
-                                  '{"util":NaN,"latency_ms":1}', '{"util":1e999,"latency_ms":1}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "no json",
+        '{"util":-1,"latency_ms":1}',
+        '{"util":0.5,"latency_ms":1e308}',
+        "[1,2]",
+        '{"util":0.5}',
+        '{"util":"x","latency_ms":1}',
+        '{"util":NaN,"latency_ms":1}',
+        '{"util":1e999,"latency_ms":1}',
+    ],
+)
 def test_a_load_report_that_cannot_be_read_is_none(text):
     async def scenario(worker, gate, client):
         client.send(request())
@@ -679,6 +769,7 @@
         writer.write(answer(extra=f"X-Load: {text}\r\n"))
         assert (await client.answer())[0] == 200
         assert (await gate.script.event(Outcome)).load == ()
+
     one_worker(scenario)
 
 
@@ -699,8 +790,11 @@
     "length below nothing": (request(body=b"x").replace(b"Length: 1", b"Length: -1"), 400),
     "length and chunks": (request(body=b"x", extra="Transfer-Encoding: chunked\r\n"), 400),
     "large body": (request(body=b"x").replace(b"Length: 1", b"Length: 65537"), 413),
-    "large chunks": (request(extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
-                     + b"".join(b"4000\r\n" + bytes(0x4000) + b"\r\n" for _ in range(5)), 413),
+    "large chunks": (
+        request(extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
+        + b"".join(b"4000\r\n" + bytes(0x4000) + b"\r\n" for _ in range(5)),
+        413,
+    ),
     "large head": (request(extra="X-Filler: " + "x" * 40_000 + "\r\n"), 431),
     "head without end": (b"GET /look HTTP/1.1\r\nX-Filler: " + b"x" * 40_000, 431),
 }
@@ -719,6 +813,7 @@
         writer.write(answer())
         assert (await other.answer())[0] == 200
         assert len(gate.keeper.open) == 0 and worker.requests.empty()
+
     one_worker(scenario)
 
 
@@ -730,6 +825,7 @@
         assert (await client.answer())[::2] == (200, b"first")
         assert (await client.answer())[0] == 400 and await client.ends()
         assert worker.requests.empty()
+
     one_worker(scenario)
 
 
@@ -738,12 +834,13 @@
         client.send(request())
         _, writer = await worker.asked()
         client.send(request())
-        request_, = gate.keeper.open.values()
+        (request_,) = gate.keeper.open.values()
         while not request_.client.excess:
             await asyncio.sleep(0)
         writer.write(answer(body=b"first"))
         assert (await client.answer())[::2] == (200, b"first")
         assert (await client.answer())[0] == 400
+
     one_worker(scenario)
 
 
@@ -757,11 +854,13 @@
         assert asked.body == b"piece"
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     one_worker(scenario)
 
 
 def test_the_id_of_a_request_that_is_open_or_has_just_ended_is_turned_away():
     """Seen with bad clients: such a request went on to a worker as a second copy of another's."""
+
     async def scenario(worker, gate, client):
         other = await gate.client()
         client.send(request("00000000000000aa"))
@@ -774,6 +873,7 @@
         gate.keeper._forget_names()
         gate.keeper._forget_names()
         assert not gate.keeper._names and not any(gate.keeper._ended_names)
+
     one_worker(scenario)
 
 
@@ -807,11 +907,13 @@
         writer.write(answer())
         assert (await client.answer())[0] == 200
         assert len([event for event in gate.script.events if isinstance(event, Arrival)]) == 1
+
     one_worker(scenario)
 
 
 def test_the_same_again_is_not_read_at_full_speed():
     """Each request that is turned away doubles the pause before the next is read; each error goes at once."""
+
     async def scenario(worker, gate, client):
         gate.keeper.alarms = alarms = Alarms(asyncio.get_running_loop(), gate.keeper.clock)
         waits, at = [], alarms.at
@@ -819,6 +921,7 @@
         for _ in range(7):
             assert (await client.send(request(path="/none")).answer())[0] == 404
         assert waits == [50, 100, 200, 400, 800, 1000, 1000]
+
     one_worker(scenario)
 
 
@@ -828,6 +931,7 @@
         assert (await client.answer())[0] == 404
         assert (await client.answer())[0] == 400 and await client.ends()
         assert worker.requests.empty()
+
     one_worker(scenario)
 
 
@@ -842,22 +946,30 @@
     gate.keeper.admission.sweep(gate.keeper.clock.now() + ms, gate.keeper.draining)
 
 
-@pytest.mark.parametrize("said, status", [
-    (b"", None), (b"\r\n\r\n\r\n", None), (b"GET /look HTTP/1.1\r\n", 408),
-    (request(body=b"half")[:-2], 408)])
+@pytest.mark.parametrize(
+    "said, status",
+    [
+        (b"", None),
+        (b"\r\n\r\n\r\n", None),
+        (b"GET /look HTTP/1.1\r\n", 408),
+        (request(body=b"half")[:-2], 408),
+    ],
+)
 def test_who_does_not_ask_in_time_is_told_or_closed(said, status):
     """Within 3 s, sweep and all; it was 11 s for half a request, and for ever for silence."""
+
     async def scenario(worker, gate, client):
         client.send(said)
         while said and not any(one.size for one in gate.keeper.admission.all):
             await asyncio.sleep(0)
         await taken(gate, 1)
         later(gate, 2000)
-        one, = gate.keeper.admission.all
+        (one,) = gate.keeper.admission.all
         assert not one.ending
         later(gate, 3000 - SWEEP_MS)
         told = await client.answer()
         assert (told and told[0]) == status and await client.ends()
+
     one_worker(scenario)
 
 
@@ -874,6 +986,7 @@
         client = await gate.client()
         client.send(head + (b"1;" + b"x" * 9000 + b"\r\nx\r\n") * 70)
         assert (await client.answer())[0] == 413
+
     one_worker(scenario)
 
 
@@ -884,6 +997,7 @@
             client.send(bytes(256 * 1024))
             await client.writer.drain()
         assert (await client.answer())[0] == 413 and await client.ends()
+
     one_worker(scenario)
 
 
@@ -906,6 +1020,7 @@
             if gone is not None:
                 assert await gone.ends() and len(admission) == most
         assert len(admission) == 1 and len(gate.keeper.open) == 1
+
     one_worker(scenario)
 
 
@@ -924,7 +1039,7 @@
             await exchange(worker, client)
         else:
             await taken(gate, 1)
-        conn, = gate.keeper.admission.all
+        (conn,) = gate.keeper.admission.all
         sent_unread(client, conn)
         if close == "at the end":
             gate.keeper.drain()
@@ -935,6 +1050,7 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     one_worker(scenario)
 
 
@@ -960,6 +1076,7 @@
                     socket.create_connection((HOST, port), 5)
                 while keeper.busy():
                     await asyncio.sleep(0)
+
     run(whole())
 
 
@@ -981,11 +1098,13 @@
         assert len(admission) <= admission.hard and len(gate.keeper.open) == 1
         for one in crowd:
             one.close()
+
     one_worker(scenario)
 
 
 def test_idle_connections_beyond_those_kept_are_closed_after_a_while_the_longest_idle_first():
     """Seen with clients that ask once and stay: they held all connections that clients may hold."""
+
     async def scenario(worker, gate, client):
         gate.keeper.admission.idle_kept = 1
         first, second = client, await gate.client()
@@ -1001,11 +1120,13 @@
         assert len(gate.keeper.admission) == 1
         later(gate, 61_000)
         assert await second.ends()
+
     one_worker(scenario)
 
 
 def test_in_a_crowd_idle_connections_go_sooner():
     """Seen: 128 that asked once came within 2 s and held all the connections that clients may hold."""
+
     async def scenario(worker, gate, client):
         gate.keeper.admission.crowd = 1
         other = await gate.client()
@@ -1019,6 +1140,7 @@
         later(gate, 300)
         other.send(request())
         assert (await worker.asked())[0] is not None
+
     one_worker(scenario)
 
 
@@ -1037,6 +1159,7 @@
                 await asyncio.sleep(0)
         finally:
             gc.enable()
+
     one_worker(scenario)
 
 
@@ -1048,6 +1171,7 @@
         came = await gate.script.event(Arrival)
         assert came.due_ms < began + 150.0
         assert (await client.answer())[0] == 504 and not gate.keeper.open
+
     one_worker(scenario, worker=None)
 
 
@@ -1058,17 +1182,25 @@
         assert (await client.send(up).answer())[0] == 503
         gate.keeper.ready = True
         assert (await client.send(up).answer())[0] == 200
+
     one_worker(scenario)
 
 
 # ---- configuration ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("change, name", [
-    ({"listen": "here"}, "config.listen"), ({"seed": "xyz"}, "config.seed"), ({"settings": 3}, "settings"),
-    ({"peers": ["127.0.0.1:1"]}, "config.peers"),
-    ({"known": {"index": 1, "endpoints": [{}]}}, "endpoints[0]"),
-    ({"known": {"index": 10 ** 400, "endpoints": []}}, "index"), ({"discovery": "h:70000"}, "discovery")])
+@pytest.mark.parametrize(
+    "change, name",
+    [
+        ({"listen": "here"}, "config.listen"),
+        ({"seed": "xyz"}, "config.seed"),
+        ({"settings": 3}, "settings"),
+        ({"peers": ["127.0.0.1:1"]}, "config.peers"),
+        ({"known": {"index": 1, "endpoints": [{}]}}, "endpoints[0]"),
+        ({"known": {"index": 10**400, "endpoints": []}}, "index"),
+        ({"discovery": "h:70000"}, "discovery"),
+    ],
+)
 def test_a_malformed_configuration_is_named(change, name):
     value = config()
     value.update(change)
@@ -1080,8 +1212,9 @@
 def test_the_environment_stands_in_for_what_the_file_lacks():
     value = config()
     del value["name"], value["listen"], value["discovery"]
-    made = config_from(value, {"BALANCER_NAME": "n7", "BALANCER_LISTEN": f"{HOST}:5",
-                               "BALANCER_DISCOVERY": f"{HOST}:6"})
+    made = config_from(
+        value, {"BALANCER_NAME": "n7", "BALANCER_LISTEN": f"{HOST}:5", "BALANCER_DISCOVERY": f"{HOST}:6"}
+    )
     assert (made.name, made.listen, made.discovery) == ("n7", (HOST, 5), (HOST, 6))
 
 
@@ -1094,6 +1227,7 @@
 
 def test_the_module_serves_a_request_from_end_to_end():
     """The one scenario with the real module: arrival, quota, choice of worker, answer."""
+
     async def scenario():
         async with FakeWorker() as worker:
             async with Gate(known=[entry("w1", worker.port)]) as gate:
@@ -1102,4 +1236,5 @@
                 _, writer = await worker.asked()
                 writer.write(answer())
                 assert (await client.answer())[::2] == (200, b"done")
+
     run(scenario())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -85,6 +85,7 @@
                         process.send_signal(signal.SIGCONT)
                         process.kill()
                     await process.wait()
+
     run(whole())
 
 
@@ -106,6 +107,7 @@
         assert await old.wait() == 0
         for client in (kept, busy, None):  # nothing was closed on the way
             assert (await site.asks(client))[0][0] == 200
+
     at_site(tmp_path, scenario)
 
 
@@ -120,6 +122,7 @@
         second.send_signal(signal.SIGTERM)
         assert await second.wait() == 0
         assert (await site.asks(client))[0][0] == 200
+
     at_site(tmp_path, scenario)
 
 
@@ -134,6 +137,7 @@
             await site.start()
         if trouble is signal.SIGKILL:
             assert (await site.asks())[0][0] == 200
+
     at_site(tmp_path, scenario)
 
 
@@ -146,6 +150,7 @@
             async with asyncio.timeout(15):
                 await site.start()
             assert (await site.asks())[0][0] == 200
+
     at_site(tmp_path, scenario)
 
 
@@ -161,6 +166,7 @@
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         assert (await site.asks())[0][0] == 200
+
     at_site(tmp_path, scenario)
 
 
@@ -168,6 +174,7 @@
     async def scenario(site):
         def held(process):
             return len(os.listdir(f"/proc/{process.pid}/fd"))
+
         old, _ = await site.start()
         clients = [(await site.asks())[1] for _ in range(20)]
         before = held(old)
@@ -177,12 +184,14 @@
         assert held(old) + held(new) <= 2 * before
         for client in clients:
             assert (await site.asks(client))[0][0] == 200
+
     at_site(tmp_path, scenario)
 
 
 def test_the_file_is_for_the_owner_alone(tmp_path):
     async def scenario(site):
         await site.start()
-        path, = pathlib.Path(tmp_path).glob("gatekeeper-*")
+        (path,) = pathlib.Path(tmp_path).glob("gatekeeper-*")
         assert path.stat().st_mode & 0o077 == 0
+
     at_site(tmp_path, scenario)
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -81,9 +81,9 @@
 def test_a_repeat_is_sent_with_the_time_by_which_it_must_be_out():
     """From the first attempt's send; where that never ran, the next one is the first."""
     c = gateway()
-    first, = of(Send, c.handle(1000, [FLEET, ask(1, "hold")]))
-    second, = of(Send, c.handle(1050, [outcome(first, Result.CONNECT_FAILED)]))
-    third, = of(Send, c.handle(1100, [outcome(second, Result.RESET, attempt=1)]))
+    (first,) = of(Send, c.handle(1000, [FLEET, ask(1, "hold")]))
+    (second,) = of(Send, c.handle(1050, [outcome(first, Result.CONNECT_FAILED)]))
+    (third,) = of(Send, c.handle(1100, [outcome(second, Result.RESET, attempt=1)]))
     assert (first.until_ms, second.until_ms) == (math.inf, math.inf)
     assert third.until_ms == 1050 + c.classes["hold"].window_ms - c.settings.tick_ms
 
@@ -93,7 +93,7 @@
     """Reset long after it was sent it was answered with 503, come again, though no server knew it any more.
     Its window is of 1200 ms, and clients are told to wait for 250 ms."""
     c = gateway(max_attempts=1)
-    send, = of(Send, c.handle(1000, [FLEET, ask(1, "seat")]))
+    (send,) = of(Send, c.handle(1000, [FLEET, ask(1, "seat")]))
     actions = c.handle(1000 + after_ms, [outcome(send, Result.RESET)])
     assert (len(of(Refuse, actions)), len(of(Fail, actions))) == (harmless, not harmless)
 
@@ -102,17 +102,17 @@
 def test_a_repeat_stays_where_its_server_was_when_it_was_sent(name, moved):
     c, (zone, cell) = gateway(), moved
     first = Server("a", "z0", 0, State.READY)
-    send, = of(Send, c.handle(1000, [Fleet((first,)), ask(1, name)]))
+    (send,) = of(Send, c.handle(1000, [Fleet((first,)), ask(1, name)]))
     others = Server("b", "z0", 0, State.READY), Server("c", zone, cell, State.READY)
     c.handle(1010, [Fleet((replace(first, zone=zone, cell=cell), *others))])
-    again, = of(Send, c.handle(1050, [outcome(send, Result.RESET)]))
+    (again,) = of(Send, c.handle(1050, [outcome(send, Result.RESET)]))
     assert again.server == "b"
 
 
 def test_unsafe_is_tried_again_when_it_never_ran():
     c = gateway()
-    send, = of(Send, c.handle(1000, [FLEET, ask(1, "debit")]))
-    again, = of(Send, c.handle(1010, [outcome(send, Result.FULL)]))
+    (send,) = of(Send, c.handle(1000, [FLEET, ask(1, "debit")]))
+    (again,) = of(Send, c.handle(1010, [outcome(send, Result.FULL)]))
     assert again.id == 1
 
 
@@ -120,8 +120,8 @@
     """An error, then a full at the same server: the first may have run all the same."""
     c = Controller(settings(may_tell=False), 1)
     one = Fleet((Server("s0", "z0", 0, State.READY),))
-    send, = of(Send, c.handle(1000, [one, ask(1, "book", due=1900)]))
-    again, = of(Send, c.handle(1010, [outcome(send, Result.ERROR)]))
+    (send,) = of(Send, c.handle(1000, [one, ask(1, "book", due=1900)]))
+    (again,) = of(Send, c.handle(1010, [outcome(send, Result.ERROR)]))
     other = Fleet((Server("s0", "z0", 0, State.DRAINING), Server("s9", "z0", 3, State.READY)))
     actions = c.handle(1020, [other, outcome(again, Result.FULL, 1)])
     assert not of(Send, actions) and of(Fail, actions) == [Fail(1)]
@@ -131,11 +131,13 @@
     c = gateway()
     c.handle(1000, [Fleet(()), Fleet((), failed=True), Woken("never asked"), ClientGone(77)])
     assert of(Refuse, c.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])) == [
-        Refuse(1), Refuse(2)]
+        Refuse(1),
+        Refuse(2),
+    ]
     assert of(Refuse, c.handle(1002, [ask(3, due=900.0)])) == [Refuse(3)]
     c.handle(1003, [ask(4)])  # no servers: held
     assert 4 in c.requests
-    send, = of(Send, c.handle(1004, [FLEET]))
+    (send,) = of(Send, c.handle(1004, [FLEET]))
     assert of(Cancel, c.handle(1005, [ClientGone(4)])) == [Cancel(4, 0)]
     assert c.handle(1006, [ClientGone(4), Started(4, 0, send.server)]) == []
     c.handle(1007, [outcome(send, Result.OK), outcome(send, Result.OK), outcome(send, Result.ERROR, 3)])
@@ -163,10 +165,12 @@
     c = gateway()
     c.handle(1000, [FLEET])
     good = messages.encode(5, 1.0, [item(messages.Kind.SPENT, units=4)], [])
-    odd = [messages.encode(5, 1.0, [item(messages.Kind.SPENT, class_index=15)], []),
-           messages.encode(5, 1.0, [item(messages.Kind.ASK, plan_index=15)], []),
-           messages.encode(5, 1.0, [item(messages.Kind.GRANT), item(messages.Kind.WAIT)], []),
-           messages.encode(5, 1.0, [], [messages.Sighting(77, 15, 15)])]
+    odd = [
+        messages.encode(5, 1.0, [item(messages.Kind.SPENT, class_index=15)], []),
+        messages.encode(5, 1.0, [item(messages.Kind.ASK, plan_index=15)], []),
+        messages.encode(5, 1.0, [item(messages.Kind.GRANT), item(messages.Kind.WAIT)], []),
+        messages.encode(5, 1.0, [], [messages.Sighting(77, 15, 15)]),
+    ]
     bad_kind = bytearray(good)
     bad_kind[6] = 99
     for data in (b"", b"\x00", good[:-1], b"\xff" + good[1:], bytes(300), bytes(bad_kind), *odd):
@@ -184,13 +188,21 @@
     data = messages.encode(70000, 1.5, items, sightings)
     news = messages.decode(data)
     assert len(data) <= messages.MAX_BYTES and news.boot == 70000 & 0xFFFF and news.room == 1.5
-    assert news.items == tuple(items[:messages.MAX_ITEMS]) and news.sightings == tuple(sightings)
+    assert news.items == tuple(items[: messages.MAX_ITEMS]) and news.sightings == tuple(sightings)
     assert [messages.ratio_of(seen) for seen in news.sightings] == [0.25, 1.0, 2.0, float("inf")]
 
 
-@pytest.mark.parametrize("bad, key", [
-    (dict(classes=()), "classes"), (dict(plans=()), "plans"), (dict(gateways=0), "gateways"),
-    (dict(number=3), "number"), (dict(max_attempts=0), "max_attempts"), (dict(warm_up_ms=-1), "warm_up_ms")])
+@pytest.mark.parametrize(
+    "bad, key",
+    [
+        (dict(classes=()), "classes"),
+        (dict(plans=()), "plans"),
+        (dict(gateways=0), "gateways"),
+        (dict(number=3), "number"),
+        (dict(max_attempts=0), "max_attempts"),
+        (dict(warm_up_ms=-1), "warm_up_ms"),
+    ],
+)
 def test_settings_that_cannot_be_right_are_named(bad, key):
     with pytest.raises(ValueError, match=key):
         settings(**bad)
@@ -280,7 +292,7 @@
         full += window.free() < 1
     assert full <= 0.04 * 4000
     window.out = 0
-    assert window.free() <= window.limit + 2 * window.limit ** 0.5  # and no more than such scatter
+    assert window.free() <= window.limit + 2 * window.limit**0.5  # and no more than such scatter
     assert gateways > 1 or window.free() < window.limit + 2
 
 
@@ -430,7 +442,7 @@
 def test_what_was_granted_and_not_used_goes_back():
     c = gateway(number=(home_of("c") + 1) % 3)
     tells = of(Tell, c.handle(1000, [Fleet(()), ask(1, units=4)]))
-    asked, = [told for tell in tells for told in messages.decode(tell.data).items]
+    (asked,) = [told for tell in tells for told in messages.decode(tell.data).items]
     data = messages.encode(1, 1.0, [asked._replace(kind=messages.Kind.GRANT)], [])
     c.handle(1010, [Heard(home_of("c"), data)])
     tells = of(Tell, c.handle(1200, [ClientGone(1), Woken("agenda")]))
@@ -489,8 +501,11 @@
     """The 17th class raised for the whole turn, and all its sends were lost."""
     item = messages.Item(messages.Kind.ASK, 7, 3, 1.0, 2.0, 1, 2)
     seen = messages.sighting("s", 16, 1.0), messages.sighting("s", 15, 1.0)
-    news = messages.decode(messages.encode(1, 1.0, [
-        item._replace(class_index=16), item, item._replace(plan_index=16)], list(seen)))
+    news = messages.decode(
+        messages.encode(
+            1, 1.0, [item._replace(class_index=16), item, item._replace(plan_index=16)], list(seen)
+        )
+    )
     assert news.items == (item,) and [one.class_index for one in news.sightings] == [15]
     kinds = tuple(RequestClass(f"k{n}", 600, 1500, 2, Repeat.SAFE) for n in range(20))
     c = gateway(classes=kinds)
@@ -506,16 +521,20 @@
 
 def test_a_thousand_gateways_and_servers_go_through_the_module():
     """Each server is known, nearly each is found by its tag, and each gateway is heard and can be told."""
-    servers = tuple(Server(f"s-{n:08x}", f"z{n % 3}", n % 64, State.READY, 1.0, 0.0 if n % 8 else 900.0)
-                    for n in range(MANY))
+    servers = tuple(
+        Server(f"s-{n:08x}", f"z{n % 3}", n % 64, State.READY, 1.0, 0.0 if n % 8 else 900.0)
+        for n in range(MANY)
+    )
     c = gateway(gateways=MANY, number=0)
     sent, told, number = set(), set(), 0
     c.handle(1000, [Fleet(servers)])
     assert len(c.servers.known) == MANY and len(c.servers.by_tag) > 0.97 * MANY
     for turn in range(600):
         now = 1004.0 + 4 * turn
-        arrivals = [Arrival(number + n, f"{turn % 300:016x}", "look", "rated", now + 900, 1, 4 * turn % MANY,
-                            64) for n in range(4)]
+        arrivals = [
+            Arrival(number + n, f"{turn % 300:016x}", "look", "rated", now + 900, 1, 4 * turn % MANY, 64)
+            for n in range(4)
+        ]
         number += 4
         actions = c.handle(now, [Woken("agenda"), *arrivals])
         sent |= {send.server for send in of(Send, actions)}
@@ -531,8 +550,10 @@
 
 
 def parts(gateways, servers):
-    return [Servers(settings(number=n, gateways=gateways), random.Random(1), ["look"]).part_of(servers)
-            for n in range(gateways)]
+    return [
+        Servers(settings(number=n, gateways=gateways), random.Random(1), ["look"]).part_of(servers)
+        for n in range(gateways)
+    ]
 
 
 def backends(count, zones=2):
@@ -551,8 +572,9 @@
     shares = parts(gateways, servers)
     times = [sum(one in part for part in shares) for one in servers]
     assert min(times) >= SHARERS and max(times) - min(times) <= 1
-    assert len({len(part) for part in shares}) == 1 and all(len(set(map(id, part))) == len(part)
-                                                            for part in shares)
+    assert len({len(part) for part in shares}) == 1 and all(
+        len(set(map(id, part))) == len(part) for part in shares
+    )
     for part in shares:  # both halls, as near as may be
         assert abs(sum(one.entry.zone == "z0" for one in part) - len(part) / 2) <= 1.5
     if count == 60 and gateways == 40:  # gateways in a row have most of the same customers
@@ -580,8 +602,16 @@
         sends = of(Send, c.handle(now, [Woken("agenda"), customer]))
         assert number > 1 or {send.server for send in sends} <= near
         sent += [send.server for send in sends]
-        more = of(Send, c.handle(now + 1, [
-            outcome(send, Result.CONNECT_FAILED if send.server in near else Result.OK) for send in sends]))
+        more = of(
+            Send,
+            c.handle(
+                now + 1,
+                [
+                    outcome(send, Result.CONNECT_FAILED if send.server in near else Result.OK)
+                    for send in sends
+                ],
+            ),
+        )
         sent += [send.server for send in more]
         c.handle(now + 2, [outcome(send, Result.OK, 1) for send in more])
     assert sum(server not in near for server in sent[-40:]) >= 25
@@ -666,7 +696,7 @@
         c.handle(1000 + n, [ask(n, "seat", customer=own)])
     assert c.quota.rtt_ms == before
     tells = of(Tell, c.handle(1100, [ask(60)]))
-    asked, = [told for tell in tells for told in messages.decode(tell.data).items]
+    (asked,) = [told for tell in tells for told in messages.decode(tell.data).items]
     told = messages.encode(1, 1.0, [asked._replace(kind=messages.Kind.WAIT)], [])
     c.handle(1190, [Heard(home_of("c"), told)])
     assert c.quota.rtt_ms > before
@@ -708,7 +738,7 @@
     others = [f"o{n}" for n in range(300) if home_of(f"o{n}") != c.settings.number]
     c.handle(now, [FLEET])
     c.quota.rtt_ms = 500.0
-    send, = of(Send, c.handle(1001, [ask(1)]))
+    (send,) = of(Send, c.handle(1001, [ask(1)]))
     again = c.handle(1002, [outcome(send, Result.OK), ask(2), Woken("agenda")])
     assert not of(Send, again) and c.requests[2].asks == 1  # one at a time: the bucket is in debt
     c, sent = gateway(number=c.settings.number), []
@@ -783,7 +813,7 @@
     first = of(Wake, c.handle(1000, [FLEET]))
     assert [round(wake.after_ms) for wake in first] == [100]  # the period
     actions = c.handle(1001, [ask(1)])
-    send, = of(Send, actions)
+    (send,) = of(Send, actions)
     assert not of(Wake, actions)  # all that is due for the request comes after the period
     c.handle(1002, [outcome(send, Result.OK)])
     wakes, now = [], 1002.0
@@ -821,7 +851,7 @@
 
 def test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
     c = gateway()
-    send, = of(Send, c.handle(1000, [FLEET, ask(1)]))
+    (send,) = of(Send, c.handle(1000, [FLEET, ask(1)]))
     old = c.servers.known[send.server].entry
     back = Server(old.id, old.zone, old.cell, State.READY, 1.0, 1005.0)
     c.handle(1010, [Fleet((back,), complete=False)])
@@ -847,7 +877,7 @@
 def test_what_is_no_longer_held_is_not_sent_again():
     for parted in (False, True):
         gate = gateway()
-        send, = [one for one in gate.handle(0.0, [FLEET, large(1)]) if isinstance(one, Send)]
+        (send,) = [one for one in gate.handle(0.0, [FLEET, large(1)]) if isinstance(one, Send)]
         news = [Parted(1)] * parted + [Outcome(1, 0, send.server, 1.0, Result.CONNECT_FAILED, False)]
         after = gate.handle(4.0, news)
         assert [type(one) for one in after if isinstance(one, Send | Refuse)] == [Refuse if parted else Send]
@@ -856,7 +886,7 @@
 def test_a_transfer_takes_no_room_while_no_server_works_on_it():
     """Seen on a day with large bodies: slow clients filled the window, and half of the quota was refused."""
     gate = gateway()
-    send, = [one for one in gate.handle(0.0, [FLEET, large(1)]) if isinstance(one, Send)]
+    (send,) = [one for one in gate.handle(0.0, [FLEET, large(1)]) if isinstance(one, Send)]
     assert gate.window.out == 0 and not any(known.out for known in gate.servers.known.values())
     gate.handle(4.0, [Whole(1, 1504.0)])
     assert gate.window.out == 1 and gate.servers.known[send.server].out == 1
@@ -889,7 +919,7 @@
     simulator; in service the fault of the turn was logged, and the request waited for its guard."""
     controller = gateway(number=1)
     controller.handle(0.0, [FLEET, ask(1, customer="d")])
-    account, = controller.quota.accounts.values()
+    (account,) = controller.quota.accounts.values()
     account.total, account.total_ms, account.own = 1e9, 4.0, 0.0  # a flood, so that nobody asks any more
     actions = controller.handle(4.0, [ask(2, customer="d")])
     assert not controller.faults and [send.id for send in of(Send, actions)] == [2]
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -27,19 +27,23 @@
     return {name.removeprefix("edge_balancer_"): int(value) for name, value in map(str.split, lines)}
 
 
-@pytest.mark.parametrize("data, status", [
-    (b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n", 200),
-    (b"GET /_ready?x=1 HTTP/1.1\r\nHost: h\r\n\r\n", 200),
-    (b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n", 404),
-    (b"POST /_vars HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab", 405),
-    (b"what is this\r\n\r\n", 400),
-    (b"GET /_ready HTTP/1.1\r\nbroken\r\n\r\n", 400),
-    (b"GET /_ready HTTP/1.1\r\nA: " + bytes(20_000).replace(b"\0", b"a"), 431),
-])
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n", 200),
+        (b"GET /_ready?x=1 HTTP/1.1\r\nHost: h\r\n\r\n", 200),
+        (b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n", 404),
+        (b"POST /_vars HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab", 405),
+        (b"what is this\r\n\r\n", 400),
+        (b"GET /_ready HTTP/1.1\r\nbroken\r\n\r\n", 400),
+        (b"GET /_ready HTTP/1.1\r\nA: " + bytes(20_000).replace(b"\0", b"a"), 431),
+    ],
+)
 def test_calls_at_the_door(data, status):
     async def scenario():
         async with Gate(Script()) as gate:
             assert (await call(gate, data))[0] == status
+
     run(scenario())
 
 
@@ -48,6 +52,7 @@
         async with Gate(Script()) as gate:
             gate.keeper.ready = False
             assert (await call(gate, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
+
     run(scenario())
 
 
@@ -69,6 +74,7 @@
             assert len(gate.door.callers) <= door.MOST
             told = [await end_of(holder) for holder in holders]
             assert all(text == b"" or b" 408 " in text for text in told) and any(told)
+
     run(scenario())
 
 
@@ -82,6 +88,7 @@
             assert 'operations_total{priority="book",status="throttled"}' in counts
             assert seen["relayed_total"] == seen["open_requests"] == 0
             assert (seen["registry_entries"], seen["out_of_rotation"]) == (2, 1)
+
     run(scenario())
 
 
@@ -93,8 +100,9 @@
         for event in events:
             if isinstance(event, Arrival) and event.id % 3:
                 actions.append(Refuse(event.id) if event.id % 3 == 2 else Fail(event.id))
-        return actions + super().handle(now, [one for one in events
-                                              if not isinstance(one, Arrival) or one.id % 3 == 0])
+        return actions + super().handle(
+            now, [one for one in events if not isinstance(one, Arrival) or one.id % 3 == 0]
+        )
 
 
 def test_each_request_counts_once_and_the_counts_add_up():
@@ -111,11 +119,14 @@
             client.send(b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n")  # never taken, so no operation
             assert (await client.answer())[0] == 404
             seen = await figures(gate)
-            totals = {how: sum(value for name, value in seen.items() if f'status="{how}"' in name)
-                      for how in ("fulfilled", "throttled", "faulted")}
+            totals = {
+                how: sum(value for name, value in seen.items() if f'status="{how}"' in name)
+                for how in ("fulfilled", "throttled", "faulted")
+            }
             assert totals == {"fulfilled": 7, "throttled": 10, "faulted": 13}
             assert sum(value for name, value in seen.items() if re.search('priority="book"', name)) == 15
             assert seen["relayed_total"] == 10 and seen["open_requests"] == 0
+
     run(scenario())
 
 
@@ -130,9 +141,11 @@
 @pytest.mark.parametrize("sockets", [96, 192, 256, 1024])
 def test_clients_and_workers_leave_the_door_its_descriptors(sockets):
     """Under a limit of 192 they could have held 168, with 26 to 28 in use beside them."""
+
     async def scenario():
         keeper = Gate(Script(), limits={"sockets": sockets}).keeper
         rest = sockets - keeper.admission.hard - keeper.workers._max
         assert rest >= gatekeeper.OTHERS >= 17 + 2 + door.MOST + 3
         assert sockets < 256 or keeper.admission.hard == int(0.46 * sockets)  # as before
+
     run(scenario())
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -29,8 +29,7 @@
     command = command.replace(".venv/bin/python", sys.executable)
     surroundings = {**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": folder}
     more.setdefault("stderr", asyncio.subprocess.PIPE)
-    return await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", command, cwd=ROOT, env=surroundings, **more)
+    return await asyncio.create_subprocess_exec("/bin/sh", "-c", command, cwd=ROOT, env=surroundings, **more)
 
 
 async def until_up(port):
@@ -71,6 +70,7 @@
                 if process.returncode is None:
                     process.kill()
                     await process.wait()
+
     run(whole())
 
 
@@ -98,6 +98,7 @@
         writer.write(answer(body=b"taken"))
         assert (await kept.answer())[2] == b"taken" and await kept.ends()
         assert await process.wait() == 0
+
     with_program(tmp_path, scenario)
 
 
@@ -125,11 +126,13 @@
             assert (await client.answer())[0] == 200
             assert await process.wait() == 0
         assert worker.requests.empty()
+
     with_program(tmp_path, scenario)
 
 
 def test_signals_up_to_the_last_moment_change_nothing_of_a_planned_end(tmp_path):
     """It ended by SIGHUP, which is a crash, where one came while the loop closed."""
+
     async def scenario(process, port, worker, _fake, _path):
         process.send_signal(signal.SIGTERM)
         while process.returncode is None:
@@ -138,6 +141,7 @@
                     os.kill(process.pid, number)
             await asyncio.sleep(0.0005)
         assert process.returncode == 0
+
     with_program(tmp_path, scenario)
 
 
@@ -166,6 +170,7 @@
                 assert (await client.answer())[0] == 200
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
+
         with_program(tmp_path, scenario, stderr=log)
     finally:
         os.close(unread)
@@ -186,6 +191,7 @@
             while b"read anew" not in said:
                 said += await loop.run_in_executor(None, os.read, reader, 4096)
             assert b" log records were dropped" in said
+
         with_program(tmp_path, scenario, stderr=log)
     finally:
         os.close(reader)
@@ -195,6 +201,7 @@
 @pytest.mark.parametrize("signals", ((signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM)))
 def test_signals_during_the_start_are_taken_up_once_it_is_up(tmp_path, signals):
     """Discovery has been called and says nothing, so it is not ready when they come."""
+
     async def whole():
         async with FakeDiscovery() as fake, FakeWorker() as worker:
             port, path = free_port(), tmp_path / "config.json"
@@ -210,11 +217,13 @@
                 if process.returncode is None:
                     process.kill()
                     await process.wait()
+
     run(whole())
 
 
 def test_no_thread_of_the_kernel_polls_on_its_account(tmp_path):
     """Seen in /proc: a thread iou-sqp beside the program took nearly all of its CPU share."""
+
     async def scenario(process, port, worker, _fake, _path):
         client = await Client().open(port)
         client.send(request())
@@ -223,6 +232,7 @@
         assert (await client.answer())[0] == 200
         tasks = pathlib.Path(f"/proc/{process.pid}/task")
         assert not [name for name in tasks.glob("*/comm") if name.read_text().startswith("iou-")]
+
     with_program(tmp_path, scenario)
 
 
@@ -243,11 +253,14 @@
         finally:
             again.kill()
             await again.wait()
+
     with_program(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("text, name", [(None, "cannot read"), ("{", "config.json"), ("[]", "config"),
-                                        ('{"seed":"1"}', "settings")])
+@pytest.mark.parametrize(
+    "text, name",
+    [(None, "cannot read"), ("{", "config.json"), ("[]", "config"), ('{"seed":"1"}', "settings")],
+)
 def test_a_configuration_that_cannot_be_used_ends_it_with_one_line(tmp_path, text, name):
     async def scenario():
         path = tmp_path / "config.json"
@@ -256,6 +269,7 @@
         process = await start(path)
         _, said = await process.communicate()
         assert process.returncode == 2 and said.count(b"\n") == 1 and name.encode() in said
+
     run(scenario())
 
 
@@ -276,6 +290,7 @@
             finally:
                 process.kill()
                 await process.wait()
+
     run(whole())
 
 
@@ -289,18 +304,23 @@
 @pytest.mark.parametrize("discovery", ("automatic", "subscribe"))
 @pytest.mark.parametrize("trouble", ("silent", "down", "turns away", "breaks off"))
 def test_in_a_large_fleet_it_is_up_in_time_whatever_discovery_does_and_serves_the_known_list(
-        tmp_path, trouble, discovery):
+    tmp_path, trouble, discovery
+):
     """Within 10 s, when 230 start at once. News is taken once there is any."""
+
     async def whole():
         async with FakeDiscovery() as fake, FakeWorker() as worker, FakeWorker() as other:
+
             async def turn_away():
                 while True:
                     _, writer = await fake.called()
                     writer.write(answer(503)) if trouble == "turns away" else writer.transport.abort()
+
             turning = asyncio.create_task(turn_away()) if trouble in ("turns away", "breaks off") else None
             port, path = free_port(), tmp_path / "config.json"
-            value = of_a_fleet(free_port() if trouble == "down" else fake.port, port, 230,
-                               known=[entry("w1", worker.port)])
+            value = of_a_fleet(
+                free_port() if trouble == "down" else fake.port, port, 230, known=[entry("w1", worker.port)]
+            )
             value["settings"]["discovery"] = discovery
             path.write_text(json.dumps(value))
             process = await start(path)
@@ -314,8 +334,9 @@
                 assert (await client.answer())[0] == 200
                 if turning:  # it is back
                     turning.cancel()
-                    news = listing(entry("w1", worker.port, "gone"), entry("w2", other.port), index=2,
-                                   snapshot=False)
+                    news = listing(
+                        entry("w1", worker.port, "gone"), entry("w2", other.port), index=2, snapshot=False
+                    )
                     async with asyncio.timeout(6):
                         while "since=2&" not in (called := await fake.called())[0]:
                             called[1].write(told(news))
@@ -326,17 +347,25 @@
             finally:
                 process.kill()
                 await process.wait()
+
     run(whole())
 
 
 def test_a_thousand_peers_and_workers_are_within_the_limits(tmp_path):
     """192 MB at most on the days that count, and 256 descriptors at least."""
+
     async def whole():
         async with FakeDiscovery() as fake:
             port, path = free_port(), tmp_path / "config.json"
             workers = [entry(f"s-{n:08x}", 5000 + n) for n in range(1024)]
-            value = of_a_fleet(fake.port, port, 1024, known=workers, peer_listen=f"{HOST}:{free_port()}",
-                               peers=[f"127.1.{n // 256}.{n % 256}:7946" for n in range(1024)])
+            value = of_a_fleet(
+                fake.port,
+                port,
+                1024,
+                known=workers,
+                peer_listen=f"{HOST}:{free_port()}",
+                peers=[f"127.1.{n // 256}.{n % 256}:7946" for n in range(1024)],
+            )
             path.write_text(json.dumps(value))
             process = await start(path)
             try:
@@ -349,6 +378,7 @@
             finally:
                 process.kill()
                 await process.wait()
+
     run(whole())
 
 
@@ -357,7 +387,7 @@
     client = await Client().open(port)
     _, _, body = await client.send(b"GET /_vars HTTP/1.1\r\nHost: h\r\n\r\n").answer()
     client.close()
-    line, = [line for line in body.decode().splitlines() if line.startswith("edge_balancer_registry")]
+    (line,) = [line for line in body.decode().splitlines() if line.startswith("edge_balancer_registry")]
     return float(line.split()[-1])
 
 
@@ -369,11 +399,13 @@
 def test_idle_clients_leave_discovery_and_the_door_their_descriptors(tmp_path):
     """Discovery is down, and they take all that they may, and more. The process neither ends nor spins at the
     limit, and takes the list in time when discovery is back."""
+
     async def whole():
         loop, idle = asyncio.get_running_loop(), []
         port, door, list_port, path = free_port(), free_port(), free_port(), tmp_path / "config.json"
-        path.write_text(json.dumps(of_a_fleet(
-            list_port, port, 230, known=[entry("w1", 9)], control=f"{HOST}:{door}")))
+        path.write_text(
+            json.dumps(of_a_fleet(list_port, port, 230, known=[entry("w1", 9)], control=f"{HOST}:{door}"))
+        )
         process = await start(path, preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (256, 256)))
         try:
             await until_up(port)
@@ -398,4 +430,5 @@
                 plug.close()
             process.kill()
             await process.wait()
+
     run(whole())
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -32,6 +32,6 @@
 
 def test_readme_example_runs(capsys):
     readme = (ROOT / "README.md").read_text()
-    example, = re.findall(r"```python\n(.*?)```", readme, re.S)
+    (example,) = re.findall(r"```python\n(.*?)```", readme, re.S)
     exec(compile(example, "README.md", "exec"), {})
     assert "send 1 to" in capsys.readouterr().out
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,7 +39,10 @@
 def settings(number=0, gateways=3, **more):
     """Settings with every kind of repeat and plan."""
     values = dict(
-        gateways=gateways, number=number, zone="z0", tick_ms=TICK,
+        gateways=gateways,
+        number=number,
+        zone="z0",
+        tick_ms=TICK,
         classes=(
             RequestClass("look", 600, 1500, 2, Repeat.SAFE),
             RequestClass("book", 900, 2500, 4, Repeat.KEYED, scope=Scope.CELL, window_ms=1200),
@@ -53,9 +56,20 @@
             Plan("capped", 8, 16, 0, 1.5, 0.5, 0.1, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
             Plan("open", max_out=4, value=1.2, over_cost=1.0),
         ),
-        warm_up_ms=8000, cold_from=0.25, fall_multiple=3, fall_window_ms=1500, max_attempts=4, max_units=4,
-        may_tell=True, second_copies=True, settles=True, max_retry_after_ms=1000, inbox_per_s=60,
-        report_how="answers", report_fields=("util", "inflight"))
+        warm_up_ms=8000,
+        cold_from=0.25,
+        fall_multiple=3,
+        fall_window_ms=1500,
+        max_attempts=4,
+        max_units=4,
+        may_tell=True,
+        second_copies=True,
+        settles=True,
+        max_retry_after_ms=1000,
+        inbox_per_s=60,
+        report_how="answers",
+        report_fields=("util", "inflight"),
+    )
     values.update(more)
     return Settings(**values)
 
@@ -168,8 +182,16 @@
         if spread == 2:
             gateway = self.rng.randrange(2)
         due = self.now + kind.deadline_ms * self.rng.uniform(0.05, 1)
-        arrival = Arrival(self.serial, customer, kind.name, plan.name, due, self.rng.choice((1, 1, 2, 4)),
-                          0 if spread == 2 else first * 0, spread)
+        arrival = Arrival(
+            self.serial,
+            customer,
+            kind.name,
+            plan.name,
+            due,
+            self.rng.choice((1, 1, 2, 4)),
+            0 if spread == 2 else first * 0,
+            spread,
+        )
         self.checker.arrival(gateway, arrival)
         self.inbox[gateway].append(arrival)
 
@@ -180,7 +202,8 @@
             attempt = len(self.checker.sent[action.id]) - 1
             result = self.rng.choices(
                 [Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET],
-                [70, 8, 8, 6, 4, 4])[0]
+                [70, 8, 8, 6, 4, 4],
+            )[0]
             took = min(self.rng.expovariate(1 / 150), action.allow_ms)
             took = action.allow_ms if result is Result.TIMEOUT else took
             self.tries[action.id, attempt] = (n, server, self.now)
@@ -201,7 +224,7 @@
             assert len(action.data) <= 256
             copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
             for _ in range(copies):
-                data = action.data if self.rng.random() > 0.02 else action.data[:self.rng.randrange(20)]
+                data = action.data if self.rng.random() > 0.02 else action.data[: self.rng.randrange(20)]
                 self.later(self.rng.expovariate(1 / 60), action.receiver, Heard(n, data))
 
     def deliver(self, gateway, event):
@@ -222,13 +245,26 @@
         if number in self.checker.open and (result is Result.OK or number in self.streams):
             self.streams.discard(number)
             due = self.checker.open[number][1].due_ms
-            assert self.now <= due + SLACK or self.checker.kinds[
-                self.checker.open[number][1].class_name].streamed, "rule 1: late"
+            assert (
+                self.now <= due + SLACK
+                or self.checker.kinds[self.checker.open[number][1].class_name].streamed
+            ), "rule 1: late"
             self.checker.open.pop(number)
             self.checker.done.add(number)
         final = number not in self.checker.open
-        self.inbox[gateway].append(Outcome(number, attempt, server.id, self.now - sent_ms, result, final,
-                                           self.rng.choice((0, 1, 3)), 0, (0.5, 2.0)))
+        self.inbox[gateway].append(
+            Outcome(
+                number,
+                attempt,
+                server.id,
+                self.now - sent_ms,
+                result,
+                final,
+                self.rng.choice((0, 1, 3)),
+                0,
+                (0.5, 2.0),
+            )
+        )
 
     def run(self, ms):
         end = self.now + ms
@@ -255,8 +291,11 @@
                     self.log.append((n, self.now, actions))
                     for action in actions:
                         self.act(n, action)
-            overdue = [n for n, (_, arrival) in self.checker.open.items()
-                       if arrival.due_ms + SLACK < self.now and n not in self.streams]
+            overdue = [
+                n
+                for n, (_, arrival) in self.checker.open.items()
+                if arrival.due_ms + SLACK < self.now and n not in self.streams
+            ]
             assert not overdue, f"rule 1: no answer for {overdue[:3]}"
             assert self.now < end + 60_000
 
@@ -292,10 +331,19 @@
 
 
 OTHERS = (
-    dict(plans=(Plan("both", 6, 12, 2, 1.4, 0.8, 0.2), Plan("open", max_out=3, over_worth=0.5)),
-         inbox_per_s=3, max_attempts=2, second_copies=False, max_retry_after_ms=0.0),
-    dict(plans=(Plan("free"), Plan("capped", 3, 9, 0, 1.0, 0.2, 1.0, 6, 18, 4)),
-         may_cancel=False, max_attempts=1, settles=False),
+    dict(
+        plans=(Plan("both", 6, 12, 2, 1.4, 0.8, 0.2), Plan("open", max_out=3, over_worth=0.5)),
+        inbox_per_s=3,
+        max_attempts=2,
+        second_copies=False,
+        max_retry_after_ms=0.0,
+    ),
+    dict(
+        plans=(Plan("free"), Plan("capped", 3, 9, 0, 1.0, 0.2, 1.0, 6, 18, 4)),
+        may_cancel=False,
+        max_attempts=1,
+        settles=False,
+    ),
     dict(plans=(Plan("rated", 2, 8, over_worth=0.9),), may_tell=False, warm_up_ms=0.0, report_fields=()),
 )
 
@@ -361,8 +409,11 @@
     fleet is in full use. The gateways start with them, or have `known` the fleet of before for 2 s. Of the
     attempts one of six fails, and of the others one of ten takes long enough for a second copy."""
     rng, order = random.Random(seed), itertools.count()
-    config = settings(gateways=gateways, plans=(Plan("free"),),
-                      classes=(RequestClass("look", 4000, 15_000, 2, Repeat.SAFE),))
+    config = settings(
+        gateways=gateways,
+        plans=(Plan("free"),),
+        classes=(RequestClass("look", 4000, 15_000, 2, Repeat.SAFE),),
+    )
     town = {n: Controller(replace(config, number=n), rng.randrange(1 << 30)) for n in range(gateways)}
     now = begin = 50_000.0
     start = begin + 2000 * known
@@ -381,7 +432,8 @@
             for _ in range(3):
                 serial += 1
                 inbox.setdefault(rng.randrange(gateways), []).append(
-                    Arrival(serial, f"{serial % 97:016x}", "look", "free", now + 15_000, 1, 0, gateways))
+                    Arrival(serial, f"{serial % 97:016x}", "look", "free", now + 15_000, 1, 0, gateways)
+                )
         while later and later[0][0] <= now:
             _, _, gateway, event = heapq.heappop(later)
             inbox.setdefault(gateway, []).append(event)
@@ -393,8 +445,15 @@
                     attempt = town[n].requests[action.id].attempts - 1 if action.id in town[n].requests else 0
                     result = Result.ERROR if rng.random() < 1 / 6 else Result.OK
                     took = 20.0 if result is Result.ERROR else 900.0 if rng.random() < 0.1 else 70.0
-                    heapq.heappush(later, (now + took, next(order), n, Outcome(
-                        action.id, attempt, action.server, took, result, result is Result.OK)))
+                    heapq.heappush(
+                        later,
+                        (
+                            now + took,
+                            next(order),
+                            n,
+                            Outcome(action.id, attempt, action.server, took, result, result is Result.OK),
+                        ),
+                    )
                 elif isinstance(action, Wake):
                     heapq.heappush(later, (now + max(1.0, action.after_ms), next(order), n, Woken("agenda")))
     beyond = -math.inf
@@ -403,7 +462,7 @@
             count = sum(at < since + config.fall_window_ms for at in times[first:])
             warmth = config.cold_from + (1 - config.cold_from) * (since - start) / config.warm_up_ms
             allowed = config.fall_multiple * warmth * calls_per_s * config.fall_window_ms / 1000
-            beyond = max(beyond, count - (allowed + 2 * allowed ** 0.5 + 2))
+            beyond = max(beyond, count - (allowed + 2 * allowed**0.5 + 2))
     assert sum(map(len, sent.values()))  # a cold server has to be tried, or it never serves
     return beyond
 
@@ -430,16 +489,28 @@
     now, begin = 1000.0, 1000.0
     while now < begin + ms:
         now += TICK
-        for number in rng.choices(range(customers), use, k=1) if rng.random() < (
-                sum(use) * plan.rate_per_s * TICK / 1000) else ():
+        for number in (
+            rng.choices(range(customers), use, k=1)
+            if rng.random() < (sum(use) * plan.rate_per_s * TICK / 1000)
+            else ()
+        ):
             serial += 1
             # The requests of a customer come unevenly over its set, which is half of the fleet.
             place = int(rng.random() ** 2 * max(2, gateways // 2))
             asked[serial] = number
             quiet += use[number] < 1
-            inbox[(number + place) % gateways].append(Arrival(
-                serial, f"{number:016x}", "look", "rated", now + 1500, 1, number % gateways,
-                max(2, gateways // 2)))
+            inbox[(number + place) % gateways].append(
+                Arrival(
+                    serial,
+                    f"{number:016x}",
+                    "look",
+                    "rated",
+                    now + 1500,
+                    1,
+                    number % gateways,
+                    max(2, gateways // 2),
+                )
+            )
         while later and later[0][0] <= now:
             _, _, gateway, event = heapq.heappop(later)
             inbox[gateway].append(event)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -11,9 +11,13 @@
 from anisefront.state import Store
 
 START = 10_000.0
-SETTINGS = settings(gateways=2, plans=(
-    Plan("rated", 4, 12, over_cost=1.0),  # nothing goes beyond the quota
-    Plan("capped", 8, 16, over_cost=1.0, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4)))
+SETTINGS = settings(
+    gateways=2,
+    plans=(
+        Plan("rated", 4, 12, over_cost=1.0),  # nothing goes beyond the quota
+        Plan("capped", 8, 16, over_cost=1.0, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
+    ),
+)
 
 
 def gateway(seed=1):
@@ -60,9 +64,9 @@
     handed_over(old, new, now)
     actions = old.handle(now, arrivals([1], "c", now))
     assert not sends(actions)
-    told, = [action for action in actions if isinstance(action, Tell)]
+    (told,) = [action for action in actions if isinstance(action, Tell)]
     assert told.receiver == 0  # its own number: the other process
-    reply, = [action for action in new.handle(now + 1, [Heard(0, told.data)]) if isinstance(action, Tell)]
+    (reply,) = [action for action in new.handle(now + 1, [Heard(0, told.data)]) if isinstance(action, Tell)]
     assert reply.receiver == 0
     assert sends(old.handle(now + 2, [Heard(0, reply.data)])) == [1]
     level = next(iter(new.quota.stores.values())).level
@@ -95,7 +99,7 @@
     assert all(account.ceiling == account.own == 0 for account in old.quota.accounts.values())
     succession.resume(old, now + 5)  # the next process is gone, with what it spent
     old.handle(now + 5, arrivals([2], "c", now + 5, "capped"))
-    store, = old.quota.stores.values()
+    (store,) = old.quota.stores.values()
     assert isinstance(store, Store) and store.ceiling < 32 * 0.75 - 16  # the quota's store may have been lent
 
 
--- a/tests/test_surroundings.py
+++ b/tests/test_surroundings.py
@@ -20,6 +20,7 @@
 
 def watched(scenario):
     """Run a scenario with a fake discovery, and a queue of what the gatekeeper is told."""
+
     async def whole():
         async with FakeDiscovery() as fake:
             lists = asyncio.Queue()
@@ -28,6 +29,7 @@
             await scenario(fake, lists, discovery)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
+
     run(whole())
 
 
@@ -43,6 +45,7 @@
         news = await lists.get()
         assert not news.complete and news.entries[0].server.state.value == "gone"
         assert (await fake.called())[0] == WATCH.format(43)
+
     watched(scenario)
 
 
@@ -57,12 +60,22 @@
             writer.write(told(listing(index=41, snapshot=False)))
         await fake.called()
         assert lists.empty()
+
     watched(scenario)
 
 
-@pytest.mark.parametrize("reply", [
-    answer(500), answer(body=b"no json"), answer(body=b"[" * 100_000), answer(body=b"3"), b"noise\r\n\r\n",
-    answer(body=b'{"index":42,"endpoints":3}'), told(listing(index=40, snapshot=False))])
+@pytest.mark.parametrize(
+    "reply",
+    [
+        answer(500),
+        answer(body=b"no json"),
+        answer(body=b"[" * 100_000),
+        answer(body=b"3"),
+        b"noise\r\n\r\n",
+        answer(body=b'{"index":42,"endpoints":3}'),
+        told(listing(index=40, snapshot=False)),
+    ],
+)
 def test_after_an_odd_answer_the_whole_list_is_asked_again(reply):
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.called()
@@ -74,12 +87,14 @@
         assert target == "/discovery/hosts"
         writer.write(told(listing(entry("w1", 5001), index=44)))
         assert (await lists.get()).index == 44
+
     watched(scenario)
 
 
 @pytest.mark.parametrize("reply", [answer(503), answer(429), None])
 def test_turned_away_it_goes_on_from_the_version_that_it_has(reply):
     """Seen on a day with a fleet of 14: all asked for whole lists, and none was answered any more."""
+
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.called()
         writer.write(told(listing(index=41)))
@@ -91,6 +106,7 @@
         writer.write(told(listing(entry("w1", 5001), index=44, snapshot=False)))
         assert (await lists.get()).index == 44
         assert (await fake.called())[0] == WATCH.format(44)
+
     watched(scenario)
 
 
@@ -105,6 +121,7 @@
             await discovery.listed.wait()
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
+
     run(scenario())
 
 
@@ -132,8 +149,10 @@
         discovery._call = called
         with monkeypatch.context() as patch:
             patch.setattr("plumpick.discovery.asyncio.sleep", sleep)
-            patch.setattr("plumpick.discovery.asyncio.get_running_loop",
-                          lambda: type("Loop", (), {"time": staticmethod(lambda: at_s[0])}))
+            patch.setattr(
+                "plumpick.discovery.asyncio.get_running_loop",
+                lambda: type("Loop", (), {"time": staticmethod(lambda: at_s[0])}),
+            )
             await discovery._watch()
 
     with contextlib.suppress(asyncio.CancelledError):
@@ -143,9 +162,12 @@
 
 NEWS = WorkerList(41, False, ())
 FAILURES = {  # and whether it takes as long as the caller waits
-    "503": (TurnedAway("status 503"), False), "429 after 2 s": (TurnedAway("status 429"), 2.0),
-    "reset": (CallFailed("the connection failed"), False), "unreadable": (OddAnswer("no JSON"), False),
-    "silence": (Unanswered("no answer in time"), True)}
+    "503": (TurnedAway("status 503"), False),
+    "429 after 2 s": (TurnedAway("status 429"), 2.0),
+    "reset": (CallFailed("the connection failed"), False),
+    "unreadable": (OddAnswer("no JSON"), False),
+    "silence": (Unanswered("no answer in time"), True),
+}
 
 
 @pytest.mark.parametrize("fleet", (1, 3, 40, 230))
@@ -153,8 +175,10 @@
     """Seen in a fleet of 40: discovery served 2 to 7 calls a second and turned away who had waited for 2 s;
     13 calls a second kept it so for 30 s. Here all have had a list, and 0.5 s later none is served any more:
     how many of them call in any 0.5 s. Each may take 3.5 s at most, so a fleet can't call less than that."""
+
     def call(now_s, _limit_s):
         return (NEWS, 0.5) if not now_s or now_s > 30 else (TurnedAway("status 503"), 0.0)
+
     gateways = [calls_of(monkeypatch, call, fleet=fleet, seed=seed)[0][1:-1] for seed in range(fleet)]
     assert len({one[1] for one in gateways}) == fleet
     gaps = [b - a for one in gateways for a, b in zip(one, one[1:], strict=False)]
@@ -164,7 +188,7 @@
         in_all = sorted(second for one in gateways for second in one[1:])
         most = max(bisect.bisect(in_all, second + 0.5) - n for n, second in enumerate(in_all))
         even = fleet * 0.5 / 3.15
-        assert most <= even + 3 * even ** 0.5 and max(gaps) < 3.51
+        assert most <= even + 3 * even**0.5 and max(gaps) < 3.51
         assert len(in_all) <= fleet * 30 / 3.0
 
 
@@ -181,6 +205,7 @@
                 return FAILURES["silence"][0], limit_s
             turned.append(now_s)
             return FAILURES["503"][0], 2.0
+
         _, answered = calls_of(monkeypatch, call, fleet=fleet, seed=seed)
         assert answered[1] <= turned[0] + 6.0
 
@@ -201,6 +226,7 @@
             if now_s >= back_s:
                 return NEWS, 0.01 if pushed else 2.0
             return problem, limit_s if hangs is True else float(hangs)
+
         begun_s, answered = calls_of(monkeypatch, call, fleet=fleet, seed=seed, pushed=pushed, grace_s=2.0)
         # The first of them is a watch that falls silent: it may go on for as long as it was to wait, and 2 s.
         # Who is refused again and again has discovery within reach from the last refusal on.
@@ -214,6 +240,7 @@
 def test_where_lists_are_pushed_a_broken_watch_is_open_again_within_the_grace(fleet, grace_s, monkeypatch):
     """Seen in a fleet of 200: a watch that fell silent was given up after 41 s and opened anew up to 150 s
     later. What an agent on the own machine has counts as told, so nobody waits for the others there."""
+
     async def gateway(seed):
         failures = iter([CallFailed("the connection ended")] * 12)
         waits, targets = [], []
@@ -226,6 +253,7 @@
             if len(targets) == 1:
                 return WorkerList(41, False, ())
             raise next(failures, asyncio.CancelledError())
+
         discovery = Discovery((HOST, 9), print, 41, fleet=fleet, seed=seed, pushed=True, grace_s=grace_s)
         discovery._call = call
         with monkeypatch.context() as patch:
@@ -238,6 +266,7 @@
     async def scenario():
         for seed in range(fleet):
             await gateway(seed)
+
     run(scenario())
 
 
@@ -251,8 +280,10 @@
 
 def test_after_a_start_the_first_call_is_made_again_sooner():
     """Its list may be an old one, and the others have theirs."""
-    started, settled = [Pace(14, random.Random(seed)) for seed in range(40)], \
-        [Pace(14, random.Random(seed)) for seed in range(40)]
+    started, settled = (
+        [Pace(14, random.Random(seed)) for seed in range(40)],
+        [Pace(14, random.Random(seed)) for seed in range(40)],
+    )
     for pace in settled:
         pace.worked()
     first, later = [one.after_failure_s() for one in started], [one.after_failure_s() for one in settled]
@@ -262,6 +293,7 @@
 @pytest.mark.parametrize("reply", (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", None))
 def test_after_a_failure_the_first_call_is_short(reply):
     """One that may wait for news could hang for 41 s before that is noticed."""
+
     async def scenario():
         async with FakeDiscovery() as fake:
             discovery = Discovery((HOST, fake.port), print, 41)
@@ -274,6 +306,7 @@
             assert (await fake.called())[0].endswith("timeout_ms=1")
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
+
     run(scenario())
 
 
@@ -285,11 +318,13 @@
         news = await lists.get()
         assert [one.server.id for one in news.entries] == ["w1"] and news.complete
         assert (await fake.called())[0] == WATCH.format(41)
+
     watched(scenario)
 
 
 def test_a_watch_moves_and_begins_with_the_whole_list():
     """Whatever it is doing at the old address: here a watch waits, and then a call that has no answer."""
+
     async def scenario(fake, lists, discovery):
         _, writer = await fake.called()
         writer.write(told(listing(index=41)))
@@ -305,18 +340,21 @@
             assert (await lists.get()).index == 3
             assert (await new.called())[0] == WATCH.format(3)
             assert fake.calls.empty() and silent.calls.empty()
+
     watched(scenario)
 
 
 def test_an_older_list_at_another_address_makes_no_worker_ready_that_was_told_to_drain():
     """After SIGHUP the new address may be behind. What a list does not say yet is not taken back by it."""
+
     async def scenario(fake, lists, discovery):
         _, writer = await fake.called()
         writer.write(told(listing(*(entry(f"w{n}", 5001 + n) for n in range(4)), index=41)))
         await lists.get()
         _, writer = await fake.called()
-        writer.write(told(listing(entry("w0", 5001, "draining"), entry("w1", 5002, "gone"), index=42,
-                                  snapshot=False)))
+        writer.write(
+            told(listing(entry("w0", 5001, "draining"), entry("w1", 5002, "gone"), index=42, snapshot=False))
+        )
         await lists.get()
         async with FakeDiscovery() as new:
             discovery.move((HOST, new.port))
@@ -328,6 +366,7 @@
             _, writer = await new.called()
             writer.write(told(listing(entry("w0", 5001), index=43, snapshot=False)))  # it drains no more
             assert (await lists.get()).entries[0].server.state.value == "ready"
+
     watched(scenario)
 
 
@@ -342,6 +381,7 @@
         discovery._told = lists.put_nowait
         writer.write(told(listing(index=42)))
         assert (await lists.get()).index == 42
+
     watched(scenario)
 
 
@@ -356,9 +396,11 @@
             while True:
                 _, writer = await fake.called()
                 writer.write(told(listing(index=7)))
+
         answering = asyncio.get_running_loop().create_task(answer_all())
         assert (await lists.get()).index == 7
         answering.cancel()
+
     watched(scenario)
 
 
@@ -377,6 +419,7 @@
                 return await call(*args)
             finally:
                 failed.set()
+
         discovery._call = watched_call
         task = asyncio.get_running_loop().create_task(discovery.run())
         await failed.wait()
@@ -389,6 +432,7 @@
     async def serve_once(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(told(listing(index=9)))
+
     run(scenario())
 
 
@@ -402,11 +446,13 @@
         writer.write(answer(body=text.encode()))
         news = await lists.get()
         assert len({one.server.id for one in news.entries}) == len(news.entries) == 1024 and news.complete
+
     watched(scenario)
 
 
 def test_a_thousand_peers_are_told_and_heard():
     """The last of them, by its address alone."""
+
     async def scenario():
         heard = asyncio.Queue()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as plug:
@@ -426,6 +472,7 @@
             peers.tell(1023, b"more")
             assert await asyncio.get_running_loop().sock_recv(plug, 300) == b"more"
             peers.close()
+
     run(scenario())
 
 
@@ -441,8 +488,10 @@
         own.close()  # the gatekeeper takes this address
         addresses[2] = f"{HOST}:1"
         heard = asyncio.Queue()
-        peers = Peers(config_from(config(peer_listen=addresses[0], peers=addresses), {}),
-                      lambda number, data: heard.put_nowait((number, data)))
+        peers = Peers(
+            config_from(config(peer_listen=addresses[0], peers=addresses), {}),
+            lambda number, data: heard.put_nowait((number, data)),
+        )
         peers.open(loop)
         there = (HOST, int(addresses[0].rpartition(":")[2]))
         stranger.sendto(b"stranger", there)
@@ -457,6 +506,7 @@
         peers.close()
         peer.close()
         stranger.close()
+
     run(scenario())
 
 
@@ -474,11 +524,13 @@
             assert clock.now() >= start + at_ms
             if at_ms == 30.5:
                 done.set()
+
         for at_ms in (30.5, 10.25, 20.0, 0.0):
             alarms.at(start + at_ms, lambda at_ms=at_ms: fire(at_ms))
         alarms.at(start + 15, lambda: fire(15)).cancel()
         await done.wait()
         assert fired == [0.0, 10.25, 20.0, 30.5]
+
     run(scenario())
 
 
@@ -490,6 +542,7 @@
         alarms.at(clock.now(), lambda: 1 / 0)
         alarms.at(clock.now(), done.set)
         await done.wait()
+
     run(scenario())
 
 
