--- a/anisefront/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""anisefront: the decisions of a quota-keeping gateway for a shared API."""
--- a/plumpick/__init__.py
+++ b/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""plumpick: a gatekeeper on real sockets round the decisions of anisefront."""
+"""A gateway that admits requests by quota and forwards them to a fleet of endpoints."""
 
 import os
 
--- a/plumpick/config.py
+++ b/gateway/config.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from anisefront.interface import Server, Settings, State
-from anisefront.settings import SettingsError, Table, settings_from
+from gateway.model.interface import Server, Settings, State
+from gateway.model.settings_reader import SettingsError, Table, settings_from
 
 Address = tuple[str, int]
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
--- /dev/null
+++ b/gateway/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""The messages that gateways send each other."""
--- a/anisefront/state.py
+++ b/gateway/model/records.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from anisefront.interface import Arrival, Plan, RequestClass, Server, Settings
-from anisefront.messages import Item, Sighting
+from gateway.gossip.codec import Item, Sighting
+from gateway.model.interface import Arrival, Plan, RequestClass, Server, Settings
 
 
 @dataclass(slots=True, eq=False)
--- a/anisefront/settings.py
+++ b/gateway/model/settings_reader.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any
 
-from anisefront import interface as face
+from gateway.model import interface as face
 
 _REPEATS = {"retryable": face.Repeat.SAFE, "dedup": face.Repeat.KEYED, "fragile": face.Repeat.UNSAFE}
 
--- /dev/null
+++ b/gateway/network/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway's sockets and timers. Nothing in here decides anything."""
--- a/plumpick/door.py
+++ b/gateway/network/admin.py
@@ -7,10 +7,10 @@
 
 import httptools
 
-from plumpick.figures import KIND
+from gateway.network.metrics import KIND
 
 if TYPE_CHECKING:
-    from plumpick.gatekeeper import Gatekeeper
+    from gateway.network.gateway import Gatekeeper
 
 MOST = 8  # connections: a reserve of descriptors that neither clients nor workers can take
 CALL_MS = 2000.0  # within so long a call must be whole; callers may hold a connection for 4 s without one
--- a/plumpick/clients.py
+++ b/gateway/network/client_connection.py
@@ -8,12 +8,12 @@
 
 import httptools
 
-from plumpick.bodies import HELD, Upload
-from plumpick.forms import BadRequest
+from gateway.network.request_parser import BadRequest
+from gateway.network.upload import HELD, Upload
 
 if TYPE_CHECKING:
-    from plumpick.gatekeeper import Gatekeeper, Request
-    from plumpick.workers import WorkerConnection
+    from gateway.network.gateway import Gatekeeper, Request
+    from gateway.network.upstream import WorkerConnection
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
 RAW_SPARE, RAW_PART = MAX_HEAD + 8 * 64 * 1024, 8  # of a message as it comes: chunks of a byte each take six
--- a/plumpick/admission.py
+++ b/gateway/network/connection_limiter.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from plumpick.clients import ClientConnection
+    from gateway.network.client_connection import ClientConnection
 
 # Of the descriptors: all of clients; those and what has not gone yet; idle ones that may stay for long; and
 # what is a crowd of those that ask, as clients hold a third at most for requests.
--- a/plumpick/discovery.py
+++ b/gateway/network/discovery.py
@@ -15,9 +15,9 @@
 
 import httptools
 
-from anisefront.interface import State
-from anisefront.settings import SettingsError
-from plumpick.config import Address, WorkerList, worker_list_from
+from gateway.config import Address, WorkerList, worker_list_from
+from gateway.model.interface import State
+from gateway.model.settings_reader import SettingsError
 
 PATH = "/discovery/hosts"
 CALL_S = 1.0  # to connect
--- a/plumpick/gatekeeper.py
+++ b/gateway/network/gateway.py
@@ -12,9 +12,8 @@
 from dataclasses import replace
 from typing import Any
 
-from anisefront import succession
-from anisefront.control import Controller
-from anisefront.interface import (
+from gateway.config import Config, WorkerList
+from gateway.model.interface import (
     Action,
     Arrival,
     Cancel,
@@ -37,14 +36,15 @@
     Whole,
     Woken,
 )
-from plumpick.admission import HARD_PART, SWEEP_MS, Admission
-from plumpick.clients import ClientConnection
-from plumpick.clock import Alarm, Alarms, Clock
-from plumpick.config import Config, WorkerList
-from plumpick.figures import FAULTED, FULFILLED, THROTTLED, Figures
-from plumpick.forms import BadRequest, Forms
-from plumpick.peers import Peers
-from plumpick.workers import Attempt, WorkerConnection, Workers
+from gateway.network.client_connection import ClientConnection
+from gateway.network.clock import Alarm, Alarms, Clock
+from gateway.network.connection_limiter import HARD_PART, SWEEP_MS, Admission
+from gateway.network.gossip_socket import Peers
+from gateway.network.metrics import FAULTED, FULFILLED, THROTTLED, Figures
+from gateway.network.request_parser import BadRequest, Forms
+from gateway.network.upstream import Attempt, WorkerConnection, Workers
+from gateway.policy import hot_restart as succession
+from gateway.policy.controller import Controller
 
 MARGIN_MS = 20.0  # the module is told a deadline so much earlier: the wire and our timers take their time
 GUARD_MS = 5.0  # so long before the client gives up it is answered, come what may
--- a/plumpick/peers.py
+++ b/gateway/network/gossip_socket.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable
 
-from plumpick.config import Address, Config
+from gateway.config import Address, Config
 
 MAX_BYTES = 256
 
--- a/plumpick/handover.py
+++ b/gateway/network/hot_restart.py
@@ -16,10 +16,10 @@
 from collections import deque
 from collections.abc import Callable, Iterator, Sequence
 
-from anisefront.interface import Heard
-from plumpick.clients import ClientConnection
-from plumpick.gatekeeper import Gatekeeper
-from plumpick.peers import bound
+from gateway.model.interface import Heard
+from gateway.network.client_connection import ClientConnection
+from gateway.network.gateway import Gatekeeper
+from gateway.network.gossip_socket import bound
 
 ANSWER_S = 1.0  # for the whole answer of the process before; a mute one must not delay a start
 PART, PACKET, MOST_FDS = 32 * 1024, 64 * 1024, 4
--- a/plumpick/bodies.py
+++ b/gateway/network/upload.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from plumpick.clients import ClientConnection
-    from plumpick.workers import WorkerConnection
+    from gateway.network.client_connection import ClientConnection
+    from gateway.network.upstream import WorkerConnection
 
 HELD = 256 * 1024  # a body up to this size is held whole; of a larger one so much may wait for its worker
 
--- a/plumpick/workers.py
+++ b/gateway/network/upstream.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from anisefront.interface import Result, State
-from plumpick.bodies import Upload
-from plumpick.clock import Alarm, Alarms, Clock
-from plumpick.config import Entry, WorkerList
-from plumpick.figures import Figures
+from gateway.config import Entry, WorkerList
+from gateway.model.interface import Result, State
+from gateway.network.clock import Alarm, Alarms, Clock
+from gateway.network.metrics import Figures
+from gateway.network.upload import Upload
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
 HELD = 64 * 1024  # an answer up to this size is held until it is whole, and can be tried again if it breaks;
@@ -36,7 +36,7 @@
 WHOLE_WRITE = 8 * 1024  # a request up to this size fits the empty buffer of any socket
 
 if TYPE_CHECKING:
-    from plumpick.clients import ClientConnection
+    from gateway.network.client_connection import ClientConnection
 
 log = logging.getLogger(__name__)
 
--- a/anisefront/control.py
+++ b/gateway/policy/controller.py
@@ -11,7 +11,8 @@
 import random
 from dataclasses import replace
 
-from anisefront.interface import (
+from gateway.gossip.codec import decode, encode
+from gateway.model.interface import (
     Action,
     Arrival,
     Cancel,
@@ -35,11 +36,10 @@
     Wake,
     Whole,
 )
-from anisefront.messages import decode, encode
-from anisefront.quota import ANSWER_PART, ASK_START_MS, TALKING_MS, TELL_MS, USUAL_GAIN, Quota
-from anisefront.servers import HEDGE_TIMES, SIGHTING_MS, SUSPECT, Servers
-from anisefront.share import PERIOD_MS, FuzzyShare
-from anisefront.state import Backend, Request, WindowState
+from gateway.model.records import Backend, Request, WindowState
+from gateway.policy.endpoints import HEDGE_TIMES, SIGHTING_MS, SUSPECT, Servers
+from gateway.policy.fuzzy_share import PERIOD_MS, FuzzyShare
+from gateway.policy.quota import ANSWER_PART, ASK_START_MS, TALKING_MS, TELL_MS, USUAL_GAIN, Quota
 
 FEW_SAMPLES = 5  # with fewer released in a period, the ages of those still held count as waits too
 
--- a/anisefront/servers.py
+++ b/gateway/policy/endpoints.py
@@ -6,10 +6,10 @@
 from collections import Counter
 from dataclasses import replace
 
-from anisefront.interface import Fleet, Repeat, State
-from anisefront.messages import MAX_SIGHTINGS, Sighting, ratio_of, server_tag, sighting
-from anisefront.share import PERIOD_MS
-from anisefront.state import Backend, Request, ServersState
+from gateway.gossip.codec import MAX_SIGHTINGS, Sighting, ratio_of, server_tag, sighting
+from gateway.model.interface import Fleet, Repeat, State
+from gateway.model.records import Backend, Request, ServersState
+from gateway.policy.fuzzy_share import PERIOD_MS
 
 HEDGE_TIMES = 3.0  # usual answer times after which a second copy may go out
 SUSPECT, HEARD_WEIGHT, SIGHTING_MS = 0.6, 0.5, 2000.0  # of an own failure: silence; what a peer saw of late
--- a/anisefront/succession.py
+++ b/gateway/policy/hot_restart.py
@@ -8,13 +8,13 @@
 import math
 from typing import TYPE_CHECKING, Any
 
-from anisefront.messages import Item, Kind
-from anisefront.state import Ask, Store
+from gateway.gossip.codec import Item, Kind
+from gateway.model.records import Ask, Store
 
 if TYPE_CHECKING:
-    from anisefront.control import Controller
-    from anisefront.quota import Quota
-    from anisefront.servers import Servers
+    from gateway.policy.controller import Controller
+    from gateway.policy.endpoints import Servers
+    from gateway.policy.quota import Quota
 
 HALF_CIRCLE = 0x8000  # serials of the two processes are so far apart: answers are known by them
 WINDOW = ("peak", "cut", "room", "fleet_room")
--- a/anisefront/quota.py
+++ b/gateway/policy/quota.py
@@ -5,10 +5,10 @@
 import math
 from collections.abc import Iterable
 
-from anisefront.interface import Arrival, Plan
-from anisefront.messages import MAX_ITEMS, Item, Kind, tag_of
-from anisefront.share import PERIOD_MS
-from anisefront.state import Account, Ask, QuotaState, Request, Store
+from gateway.gossip.codec import MAX_ITEMS, Item, Kind, tag_of
+from gateway.model.interface import Arrival, Plan
+from gateway.model.records import Account, Ask, QuotaState, Request, Store
+from gateway.policy.fuzzy_share import PERIOD_MS
 
 ANSWER_PART = 0.45  # of a class's aim that is kept free for the answer at most
 ASK_START_MS, ASK_TIMES, ASK_LEAST_MS = 60.0, 2.5, 30.0  # usual time of a home's answer; late is so much
--- a/plumpick/__main__.py
+++ b/gateway/process.py
@@ -1,4 +1,4 @@
-"""Start, signals and exit of one gatekeeper: `python -m plumpick`."""
+"""Start, signals and exit of one gatekeeper: `python -m gateway`."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 import uvloop
 
-from plumpick.config import Config, ConfigError, load
-from plumpick.discovery import Discovery
-from plumpick.door import Door
-from plumpick.gatekeeper import Gatekeeper
-from plumpick.handover import Handover
-from plumpick.log_handler import NonBlockingHandler
+from gateway.config import Config, ConfigError, load
+from gateway.log_handler import NonBlockingHandler
+from gateway.network.admin import Door
+from gateway.network.discovery import Discovery
+from gateway.network.gateway import Gatekeeper
+from gateway.network.hot_restart import Handover
 
 FIRST_LIST_S = 0.5  # how long the first whole list is waited for; after that the known one has to do
 # After SIGTERM connections go on coming for up to 0.4 s, and clients go on using those that they have; peers
@@ -29,7 +29,7 @@
 STEP_S = 0.02
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
-log = logging.getLogger("plumpick")
+log = logging.getLogger("gateway")
 
 
 async def reload(config: Config, discovery: Discovery, asked: asyncio.Event) -> None:
@@ -122,15 +122,11 @@
     try:
         config = load(os.environ)
     except ConfigError as problem:
-        print(f"plumpick: {problem}", file=sys.stderr)
+        print(f"gateway: {problem}", file=sys.stderr)
         return 2
     try:
         uvloop.run(serve(config))
     except OSError as problem:
-        print(f"plumpick: {problem}", file=sys.stderr)
+        print(f"gateway: {problem}", file=sys.stderr)
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- /dev/null
+++ b/gateway/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions on the simulator's wire: `python -m gateway.simulator`."""
--- /dev/null
+++ b/gateway/simulator/__main__.py
@@ -0,0 +1,8 @@
+"""The simulator's adapter: `python -m gateway.simulator`."""
+
+import sys
+
+from gateway.simulator.adapter import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/anisefront/simhost.py
+++ b/gateway/simulator/adapter.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
-from anisefront import interface as face
-from anisefront.control import Controller
-from anisefront.settings import settings_from
+from gateway.model import interface as face
+from gateway.model.settings_reader import settings_from
+from gateway.policy.controller import Controller
 
 _STATES = {"Running": face.State.READY, "Stopping": face.State.DRAINING, "Deleted": face.State.GONE}
 _REPEATED_BIT = 2
@@ -317,7 +317,3 @@
         print(f"{fault}\nFINISHED", flush=True)
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -8,11 +8,11 @@
 import httptools
 import uvloop
 
-from anisefront.interface import Arrival, Fail, Outcome, Send
-from plumpick.clients import ClientConnection
-from plumpick.config import config_from
-from plumpick.door import Door
-from plumpick.gatekeeper import Gatekeeper
+from gateway.config import config_from
+from gateway.model.interface import Arrival, Fail, Outcome, Send
+from gateway.network.admin import Door
+from gateway.network.client_connection import ClientConnection
+from gateway.network.gateway import Gatekeeper
 
 HOST = "127.0.0.1"
 PATIENCE_S = 30.0  # for a whole scenario: only a hang takes so long
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -29,7 +29,7 @@
 
 def sim(text):
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
-    assert command == "exec .venv/bin/python -m anisefront.simhost"
+    assert command == "exec .venv/bin/python -m gateway.simulator"
     command = command.replace(".venv/bin/python", sys.executable)
     return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True, capture_output=True)
 
@@ -103,8 +103,8 @@
 def test_a_fault_of_the_module_is_told_on_the_wire(monkeypatch, capsys):
     import io
 
-    from anisefront import simhost
-    from anisefront.control import Controller
+    from gateway.policy.controller import Controller
+    from gateway.simulator import adapter as simhost
 
     monkeypatch.setattr(Controller, "handle", lambda self, now, events: 1 / 0)
     monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(start().encode())))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -5,7 +5,7 @@
 import pytest
 from fakes import HOST, Gate, Script, entry, request, run
 
-from anisefront.interface import (
+from gateway.model.interface import (
     Arrival,
     ClientGone,
     Outcome,
@@ -17,8 +17,9 @@
     Whole,
     Woken,
 )
-from plumpick import bodies, workers
-from plumpick.admission import OWED_MS
+from gateway.network import upload as bodies
+from gateway.network import upstream as workers
+from gateway.network.connection_limiter import OWED_MS
 
 LARGE = 3 * bodies.HELD
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -20,9 +20,8 @@
 from test_process import ROOT, free_port, start, tell_list
 from test_rules import settings
 
-from anisefront import messages, succession
-from anisefront.control import Controller
-from anisefront.interface import (
+from gateway.gossip import codec as messages
+from gateway.model.interface import (
     Arrival,
     Fail,
     Fleet,
@@ -36,6 +35,8 @@
     Wake,
     Woken,
 )
+from gateway.policy import hot_restart as succession
+from gateway.policy.controller import Controller
 
 FIXTURES = pathlib.Path(__file__).parent / "fixtures"
 BODY_LIMIT = 256 * 1024  # a larger body is passed on while it comes
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -12,7 +12,8 @@
 import pytest
 from fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, listing, request, run
 
-from anisefront.interface import (
+from gateway.config import config_from, worker_list_from
+from gateway.model.interface import (
     Arrival,
     Cancel,
     ClientGone,
@@ -25,12 +26,11 @@
     Wake,
     Woken,
 )
-from plumpick.admission import SWEEP_MS
-from plumpick.clock import Alarms
-from plumpick.config import config_from, worker_list_from
-from plumpick.gatekeeper import Gatekeeper
-from plumpick.handover import Handover
-from plumpick.workers import MAX_BODY, REST_MS
+from gateway.network.clock import Alarms
+from gateway.network.connection_limiter import SWEEP_MS
+from gateway.network.gateway import Gatekeeper
+from gateway.network.hot_restart import Handover
+from gateway.network.upstream import MAX_BODY, REST_MS
 
 
 def one_worker(scenario, **script):
@@ -65,7 +65,7 @@
 
 def test_connections_are_kept_and_used_again(monkeypatch):
     """Seen on the first calm day: keep-alive was asked of the parser too late, and none was kept."""
-    monkeypatch.setattr("plumpick.workers.REST_MS", 0.0)
+    monkeypatch.setattr("gateway.network.upstream.REST_MS", 0.0)
 
     async def scenario(worker, gate, client):
         for number in range(5):
@@ -327,7 +327,7 @@
 
 
 def test_nothing_is_sent_on_for_a_client_whose_end_is_here_unread(monkeypatch):
-    monkeypatch.setattr("plumpick.workers.REST_MS", 0.0)
+    monkeypatch.setattr("gateway.network.upstream.REST_MS", 0.0)
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)  # leaves a connection on which a request goes out at once
@@ -723,7 +723,7 @@
 
 
 def test_the_connections_to_one_worker_are_capped(monkeypatch):
-    monkeypatch.setattr("plumpick.workers.MAX_PER_WORKER", 1)
+    monkeypatch.setattr("gateway.network.upstream.MAX_PER_WORKER", 1)
 
     async def scenario(worker, gate, client):
         client.send(request())
@@ -803,7 +803,7 @@
 @pytest.mark.parametrize("name", BAD)
 def test_what_cannot_be_taken_gets_an_error_and_harms_no_other_connection(name, monkeypatch):
     data, status = BAD[name]
-    monkeypatch.setattr("plumpick.clients.MAX_BODY", 64 * 1024)
+    monkeypatch.setattr("gateway.network.client_connection.MAX_BODY", 64 * 1024)
 
     async def scenario(worker, gate, client):
         other = await gate.client()
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -7,9 +7,8 @@
 import pytest
 from test_rules import settings
 
-from anisefront import messages
-from anisefront.control import Controller, Window
-from anisefront.interface import (
+from gateway.gossip import codec as messages
+from gateway.model.interface import (
     Arrival,
     Cancel,
     ClientGone,
@@ -34,10 +33,11 @@
     Whole,
     Woken,
 )
-from anisefront.quota import FORGET_MS, store_name
-from anisefront.servers import SHARERS, Servers
-from anisefront.share import CENTRES, FuzzyShare
-from anisefront.state import Backend
+from gateway.model.records import Backend
+from gateway.policy.controller import Controller, Window
+from gateway.policy.endpoints import SHARERS, Servers
+from gateway.policy.fuzzy_share import CENTRES, FuzzyShare
+from gateway.policy.quota import FORGET_MS, store_name
 
 FLEET = Fleet(tuple(Server(f"s{n}", f"z{n % 2}", n % 4, State.READY) for n in range(6)))
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -6,9 +6,10 @@
 import pytest
 from fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, request, run
 
-from anisefront.interface import Arrival, Fail, Refuse
-from plumpick import door, gatekeeper
-from plumpick.config import config_from
+from gateway.config import config_from
+from gateway.model.interface import Arrival, Fail, Refuse
+from gateway.network import admin as door
+from gateway.network import gateway as gatekeeper
 
 
 async def call(gate, data):
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -4,24 +4,42 @@
 import pathlib
 import re
 import sys
+import tomllib
 
 ROOT = pathlib.Path(__file__).parent.parent
 
 
+def filled_lines(path):
+    return sum(bool(line.strip()) for line in path.read_text().splitlines())
+
+
 def test_size_limits():
-    lines = (ROOT / "anisefront/control.py").read_text().splitlines()
-    assert sum(bool(line.strip()) for line in lines) <= 800
-    for path in [*ROOT.glob("anisefront/*.py"), *ROOT.glob("plumpick/*.py"), *ROOT.glob("tests/*.py")]:
+    assert filled_lines(ROOT / "gateway/policy/controller.py") <= 800
+    for path in [*ROOT.glob("gateway/**/*.py"), *ROOT.glob("tests/*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
-def test_the_module_needs_the_standard_library_only():
-    for path in ROOT.glob("anisefront/*.py"):
-        for node in ast.walk(ast.parse(path.read_text())):
-            names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
-            names += [node.module] if isinstance(node, ast.ImportFrom) and node.module else []
-            roots = {name.partition(".")[0] for name in names}
-            assert roots <= {*sys.stdlib_module_names, "anisefront"}, (path, roots)
+def test_all_that_decides_is_listed_and_within_the_operators_limit():
+    listed = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
+    files = [str(path.relative_to(ROOT)) for path in ROOT.glob("gateway/policy/*.py")]
+    assert sorted(listed) == sorted(name for name in files if not name.endswith("__init__.py"))
+    assert sum(filled_lines(ROOT / name) for name in listed) <= 1200
+
+
+PURE = ("gossip", "model", "policy", "simulator")
+
+
+def test_the_decisions_need_the_standard_library_only():
+    """And nothing of the network code, whatever they import."""
+    for package in PURE:
+        for path in ROOT.glob(f"gateway/{package}/*.py"):
+            for node in ast.walk(ast.parse(path.read_text())):
+                names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
+                names += [node.module] if isinstance(node, ast.ImportFrom) and node.module else []
+                own = {".".join(name.split(".")[:2]) for name in names if name.startswith("gateway")}
+                assert own <= {f"gateway.{pure}" for pure in PURE} | {"gateway.errors"}, (path, own)
+                roots = {name.partition(".")[0] for name in names}
+                assert roots <= {*sys.stdlib_module_names, "gateway"}, (path, roots)
 
 
 def test_requirements_are_pinned():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,7 @@
 
 import pytest
 
-from anisefront.control import Controller
-from anisefront.interface import (
+from gateway.model.interface import (
     Arrival,
     Cancel,
     ClientGone,
@@ -32,6 +31,7 @@
     Wake,
     Woken,
 )
+from gateway.policy.controller import Controller
 
 TICK, GRACE, SLACK = 4.0, 250.0, 16.0
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -5,10 +5,10 @@
 from test_module import FLEET
 from test_rules import settings
 
-from anisefront import succession
-from anisefront.control import Controller
-from anisefront.interface import Arrival, Heard, Outcome, Plan, Refuse, Result, Send, Tell
-from anisefront.state import Store
+from gateway.model.interface import Arrival, Heard, Outcome, Plan, Refuse, Result, Send, Tell
+from gateway.model.records import Store
+from gateway.policy import hot_restart as succession
+from gateway.policy.controller import Controller
 
 START = 10_000.0
 SETTINGS = settings(
--- a/tests/test_surroundings.py
+++ b/tests/test_surroundings.py
@@ -10,10 +10,10 @@
 import pytest
 from fakes import HOST, FakeDiscovery, answer, config, entry, listing, run, told
 
-from plumpick.clock import Alarms, Clock
-from plumpick.config import WorkerList, config_from
-from plumpick.discovery import CallFailed, Discovery, OddAnswer, Pace, TurnedAway, Unanswered
-from plumpick.peers import Peers
+from gateway.config import WorkerList, config_from
+from gateway.network.clock import Alarms, Clock
+from gateway.network.discovery import CallFailed, Discovery, OddAnswer, Pace, TurnedAway, Unanswered
+from gateway.network.gossip_socket import Peers
 
 WATCH = "/discovery/hosts?since={}&timeout_ms=5000"
 
@@ -148,9 +148,9 @@
         discovery = Discovery((HOST, 9), print, 41, **more)
         discovery._call = called
         with monkeypatch.context() as patch:
-            patch.setattr("plumpick.discovery.asyncio.sleep", sleep)
+            patch.setattr("gateway.network.discovery.asyncio.sleep", sleep)
             patch.setattr(
-                "plumpick.discovery.asyncio.get_running_loop",
+                "gateway.network.discovery.asyncio.get_running_loop",
                 lambda: type("Loop", (), {"time": staticmethod(lambda: at_s[0])}),
             )
             await discovery._watch()
@@ -257,7 +257,7 @@
         discovery = Discovery((HOST, 9), print, 41, fleet=fleet, seed=seed, pushed=True, grace_s=grace_s)
         discovery._call = call
         with monkeypatch.context() as patch:
-            patch.setattr("plumpick.discovery.asyncio.sleep", sleep)
+            patch.setattr("gateway.network.discovery.asyncio.sleep", sleep)
             await asyncio.gather(discovery._watch(), return_exceptions=True)
         assert targets[1] == WATCH.format(41)
         assert len(waits) == 12 and waits[0] < 0.05 and max(waits) < max(0.05, grace_s / 2)
@@ -371,7 +371,7 @@
 
 
 def test_a_fault_of_ours_does_not_end_the_watch(monkeypatch):
-    monkeypatch.setattr("plumpick.discovery.MOST_WAIT_S", 0.0)
+    monkeypatch.setattr("gateway.network.discovery.MOST_WAIT_S", 0.0)
 
     async def scenario(fake, lists, discovery):
         discovery._told = lambda _news: 1 / 0
@@ -386,7 +386,7 @@
 
 
 def test_silence_is_survived(monkeypatch):
-    monkeypatch.setattr("plumpick.discovery.TURN_S", 0.05)
+    monkeypatch.setattr("gateway.network.discovery.TURN_S", 0.05)
 
     async def scenario(fake, lists, _discovery):
         for _ in range(3):
