--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,27 +9,27 @@
 import pytest
 
 from gateway.model.interface import (
-    Arrival,
-    Cancel,
-    ClientGone,
+    AttemptEnded,
+    AttemptResult,
+    CancelAttempt,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointUpdate,
     Fail,
-    Fleet,
-    Heard,
-    Outcome,
+    GossipReceived,
+    Idempotency,
+    KeyScope,
     Plan,
-    Refuse,
-    Repeat,
+    Reject,
+    RequestArrived,
     RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
+    ResponseStarted,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
     Settings,
-    Started,
-    State,
-    Tell,
-    Wake,
-    Woken,
+    TimerFired,
 )
 from gateway.policy.controller import Controller
 
@@ -44,29 +44,53 @@
         zone="z0",
         tick_ms=TICK,
         classes=(
-            RequestClass("look", 600, 1500, 2, Repeat.SAFE),
-            RequestClass("book", 900, 2500, 4, Repeat.KEYED, scope=Scope.CELL, window_ms=1200),
-            RequestClass("hold", 900, 2500, 4, Repeat.KEYED, scope=Scope.ZONE, window_ms=1200),
-            RequestClass("seat", 900, 2500, 4, Repeat.KEYED, scope=Scope.ALL, window_ms=1200),
-            RequestClass("debit", 900, 2500, 3, Repeat.UNSAFE),
-            RequestClass("feed", 900, 2500, 1, Repeat.SAFE, streamed=True),
+            RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
+            RequestClass(
+                "book",
+                900,
+                2500,
+                4,
+                Idempotency.WITH_KEY,
+                key_scope=KeyScope.CELL,
+                deduplication_window_ms=1200,
+            ),
+            RequestClass(
+                "hold",
+                900,
+                2500,
+                4,
+                Idempotency.WITH_KEY,
+                key_scope=KeyScope.ZONE,
+                deduplication_window_ms=1200,
+            ),
+            RequestClass(
+                "seat",
+                900,
+                2500,
+                4,
+                Idempotency.WITH_KEY,
+                key_scope=KeyScope.ALL,
+                deduplication_window_ms=1200,
+            ),
+            RequestClass("debit", 900, 2500, 3, Idempotency.NON_IDEMPOTENT),
+            RequestClass("feed", 900, 2500, 1, Idempotency.IDEMPOTENT, streamed=True),
         ),
         plans=(
             Plan("rated", 4, 12, 0, 1.0, 0.3, 0.1),
             Plan("capped", 8, 16, 0, 1.5, 0.5, 0.1, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
-            Plan("open", max_out=4, value=1.2, over_cost=1.0),
+            Plan("open", max_in_flight=4, weight_factor=1.2, overage_cost=1.0),
         ),
-        warm_up_ms=8000,
-        cold_from=0.25,
-        fall_multiple=3,
-        fall_window_ms=1500,
+        slow_start_ms=8000,
+        slow_start_floor=0.25,
+        overload_multiple=3,
+        overload_window_ms=1500,
         max_attempts=4,
         max_units=4,
-        may_tell=True,
-        second_copies=True,
-        settles=True,
+        may_gossip=True,
+        may_hedge=True,
+        post_paid=True,
         max_retry_after_ms=1000,
-        inbox_per_s=60,
+        gossip_inbox_per_s=60,
         report_how="answers",
         report_fields=("util", "inflight"),
     )
@@ -102,14 +126,14 @@
         kind, plan = self.kinds[arrival.class_name], self.plans[arrival.plan_name]
         assert drained_ms is None or now <= drained_ms + GRACE, "rule 3: sent to a draining server"
         loose = self.unproved(number)
-        if kind.repeat is Repeat.UNSAFE:
+        if kind.idempotency is Idempotency.NON_IDEMPOTENT:
             assert not loose, "rule 2: an unsafe request went out twice"
-        if kind.repeat is Repeat.KEYED and loose:
+        if kind.idempotency is Idempotency.WITH_KEY and loose:
             first_ms, first = loose[0]
-            assert now < until_ms <= first_ms + kind.window_ms, "rule 2: past the window"
-            if kind.scope is Scope.CELL:
+            assert now < until_ms <= first_ms + kind.deduplication_window_ms, "rule 2: past the window"
+            if kind.key_scope is KeyScope.CELL:
                 assert first.cell == server.cell, "rule 2: another cell"
-            if kind.scope is Scope.ZONE:
+            if kind.key_scope is KeyScope.ZONE:
                 assert first.zone == server.zone, "rule 2: another zone"
         if not self.sent[number] and plan.ceiling_per_s:
             level, at = self.ceilings.get(arrival.customer, (plan.ceiling_burst, now))
@@ -118,14 +142,17 @@
             self.ceilings[arrival.customer] = (level, now)
         self.sent[number].append((now, server))
 
-    def answer(self, now, number, refused, retry_in_ms=0.0):
+    def answer(self, now, number, refused, retry_after_ms=0.0):
         _, arrival = self.open.pop(number)
         kind = self.kinds[arrival.class_name]
-        assert now <= arrival.due_ms + SLACK, "rule 1: late"
+        assert now <= arrival.deadline_at_ms + SLACK, "rule 1: late"
         if refused and self.unproved(number):
-            all_of_them = kind.repeat is Repeat.KEYED and kind.scope is Scope.ALL
-            known = all_of_them and now + retry_in_ms < self.unproved(number)[0][0] + kind.window_ms
-            assert kind.repeat is Repeat.SAFE or known, "rule 2: refused though it may have run"
+            all_of_them = kind.idempotency is Idempotency.WITH_KEY and kind.key_scope is KeyScope.ALL
+            first_ms = self.unproved(number)[0][0]
+            known = all_of_them and now + retry_after_ms < first_ms + kind.deduplication_window_ms
+            assert kind.idempotency is Idempotency.IDEMPOTENT or known, (
+                "rule 2: refused though it may have run"
+            )
         self.done.add(number)
 
 
@@ -139,7 +166,7 @@
         self.loss, self.kill, self.rate, self.left_waiting = loss, kill, rate, 0
         self.now, self.serial, self.queue, self.log = 1000.0, 0, [], []
         self.inbox = {n: [] for n in range(gateways)}
-        self.fleet = [Server(f"s{n}", f"z{n % 2}", n % 4, State.READY) for n in range(8)]
+        self.fleet = [Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(8)]
         self.learned = {n: {} for n in range(gateways)}
         self.life = {n: 0 for n in range(gateways)}
         self.gateways, self.tries, self.streams = {}, {}, set()
@@ -151,8 +178,8 @@
         self.life[n] += 1
         config = settings(number=n, gateways=len(self.life), **self.more)
         self.gateways[n] = Controller(config, self.rng.randrange(1 << 30))
-        self.inbox[n] = [Fleet(tuple(self.fleet))]
-        self.learned[n] = {s.id: self.now for s in self.fleet if s.state is not State.READY}
+        self.inbox[n] = [EndpointUpdate(tuple(self.fleet))]
+        self.learned[n] = {s.id: self.now for s in self.fleet if s.state is not EndpointState.READY}
 
     def later(self, delay, gateway, event):
         self.serial += 1
@@ -161,12 +188,16 @@
     def change_fleet(self):
         n = self.rng.randrange(len(self.fleet))
         old = self.fleet[n]
-        flip = {State.READY: State.DRAINING, State.DRAINING: State.GONE, State.GONE: State.READY}[old.state]
-        started = self.now if flip is State.READY else old.started_ms
-        self.fleet[n] = Server(old.id, old.zone, old.cell, flip, 1.0, started)
+        flip = {
+            EndpointState.READY: EndpointState.DRAINING,
+            EndpointState.DRAINING: EndpointState.REMOVED,
+            EndpointState.REMOVED: EndpointState.READY,
+        }[old.state]
+        started = self.now if flip is EndpointState.READY else old.started_ms
+        self.fleet[n] = Endpoint(old.id, old.zone, old.cell, flip, 1.0, started)
         for gateway in self.gateways:
-            self.inbox[gateway].append(Fleet((self.fleet[n],), complete=False))
-            if flip is State.READY:
+            self.inbox[gateway].append(EndpointUpdate((self.fleet[n],), is_snapshot=False))
+            if flip is EndpointState.READY:
                 self.learned[gateway].pop(old.id, None)
             else:
                 self.learned[gateway].setdefault(old.id, self.now)
@@ -177,12 +208,12 @@
         kind = self.rng.choice(self.config.classes)
         plan = self.rng.choice(self.config.plans)
         spread = self.rng.choice((2, len(self.gateways)))
-        customer = f"{plan.name}-{self.rng.randrange(4 if plan.max_out else 1)}-{spread}"
+        customer = f"{plan.name}-{self.rng.randrange(4 if plan.max_in_flight else 1)}-{spread}"
         first = gateway if spread == len(self.gateways) else 0
         if spread == 2:
             gateway = self.rng.randrange(2)
         due = self.now + kind.deadline_ms * self.rng.uniform(0.05, 1)
-        arrival = Arrival(
+        arrival = RequestArrived(
             self.serial,
             customer,
             kind.name,
@@ -196,40 +227,47 @@
         self.inbox[gateway].append(arrival)
 
     def act(self, n, action):
-        if isinstance(action, Send):
-            server = next(s for s in self.fleet if s.id == action.server)
-            self.checker.send(self.now, action.id, server, self.learned[n].get(server.id), action.until_ms)
+        if isinstance(action, SendAttempt):
+            server = next(s for s in self.fleet if s.id == action.endpoint)
+            self.checker.send(self.now, action.id, server, self.learned[n].get(server.id), action.send_by_ms)
             attempt = len(self.checker.sent[action.id]) - 1
             result = self.rng.choices(
-                [Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET],
+                [
+                    AttemptResult.OK,
+                    AttemptResult.ERROR,
+                    AttemptResult.OVERLOADED,
+                    AttemptResult.TIMEOUT,
+                    AttemptResult.CONNECT_FAILED,
+                    AttemptResult.RESET,
+                ],
                 [70, 8, 8, 6, 4, 4],
             )[0]
-            took = min(self.rng.expovariate(1 / 150), action.allow_ms)
-            took = action.allow_ms if result is Result.TIMEOUT else took
+            took = min(self.rng.expovariate(1 / 150), action.timeout_ms)
+            took = action.timeout_ms if result is AttemptResult.TIMEOUT else took
             self.tries[action.id, attempt] = (n, server, self.now)
             streamed = self.checker.kinds[self.checker.open[action.id][1].class_name].streamed
-            if streamed and result is Result.OK:
-                self.later(took / 2, n, Started(action.id, attempt, server.id))
+            if streamed and result is AttemptResult.OK:
+                self.later(took / 2, n, ResponseStarted(action.id, attempt, server.id))
             self.later(took, n, (action.id, attempt, result))
-        elif isinstance(action, (Refuse, Fail)):
+        elif isinstance(action, (Reject, Fail)):
             if action.id in self.checker.open:
                 assert action.id not in self.streams, "rule 1: a started stream was ended"
-                refused = isinstance(action, Refuse)
-                self.checker.answer(self.now, action.id, refused, action.retry_in_ms if refused else 0.0)
-        elif isinstance(action, Cancel):
-            self.later(0.5, n, (action.id, action.attempt, Result.CANCELLED))
-        elif isinstance(action, Wake):
-            self.later(max(action.after_ms, 1e-3), n, Woken(action.name))
-        elif isinstance(action, Tell):
+                refused = isinstance(action, Reject)
+                self.checker.answer(self.now, action.id, refused, action.retry_after_ms if refused else 0.0)
+        elif isinstance(action, CancelAttempt):
+            self.later(0.5, n, (action.id, action.attempt, AttemptResult.CANCELLED))
+        elif isinstance(action, SetTimer):
+            self.later(max(action.after_ms, 1e-3), n, TimerFired(action.name))
+        elif isinstance(action, SendGossip):
             assert len(action.data) <= 256
             copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
             for _ in range(copies):
                 data = action.data if self.rng.random() > 0.02 else action.data[: self.rng.randrange(20)]
-                self.later(self.rng.expovariate(1 / 60), action.receiver, Heard(n, data))
+                self.later(self.rng.expovariate(1 / 60), action.receiver, GossipReceived(n, data))
 
     def deliver(self, gateway, event):
         if not isinstance(event, tuple):
-            if isinstance(event, Started):
+            if isinstance(event, ResponseStarted):
                 if event.id not in self.checker.open or (event.id, event.attempt) not in self.tries:
                     return
                 self.streams.add(event.id)
@@ -240,11 +278,11 @@
         if entry is None:
             return
         _, server, sent_ms = entry
-        if result.never_ran:
+        if result.proves_not_executed:
             self.checker.proved[number].add(attempt)
-        if number in self.checker.open and (result is Result.OK or number in self.streams):
+        if number in self.checker.open and (result is AttemptResult.OK or number in self.streams):
             self.streams.discard(number)
-            due = self.checker.open[number][1].due_ms
+            due = self.checker.open[number][1].deadline_at_ms
             assert (
                 self.now <= due + SLACK
                 or self.checker.kinds[self.checker.open[number][1].class_name].streamed
@@ -253,7 +291,7 @@
             self.checker.done.add(number)
         final = number not in self.checker.open
         self.inbox[gateway].append(
-            Outcome(
+            AttemptEnded(
                 number,
                 attempt,
                 server.id,
@@ -281,7 +319,7 @@
                 self.client_leaves()
             while self.queue and self.queue[0][0] <= self.now:
                 _, _, gateway, life, event = heapq.heappop(self.queue)
-                if isinstance(event, Heard) or life == self.life[gateway]:
+                if isinstance(event, GossipReceived) or life == self.life[gateway]:
                     self.deliver(gateway, event)
             for n, controller in self.gateways.items():
                 events, self.inbox[n] = self.inbox[n], []
@@ -294,7 +332,7 @@
             overdue = [
                 n
                 for n, (_, arrival) in self.checker.open.items()
-                if arrival.due_ms + SLACK < self.now and n not in self.streams
+                if arrival.deadline_at_ms + SLACK < self.now and n not in self.streams
             ]
             assert not overdue, f"rule 1: no answer for {overdue[:3]}"
             assert self.now < end + 60_000
@@ -304,7 +342,7 @@
         gateway, _ = self.checker.open.pop(number)
         self.checker.done.add(number)
         self.streams.discard(number)
-        self.inbox[gateway].append(ClientGone(number))
+        self.inbox[gateway].append(ClientDisconnected(number))
         self.left_waiting += not self.checker.sent[number]
 
     def killed(self, n):
@@ -332,19 +370,24 @@
 
 OTHERS = (
     dict(
-        plans=(Plan("both", 6, 12, 2, 1.4, 0.8, 0.2), Plan("open", max_out=3, over_worth=0.5)),
-        inbox_per_s=3,
+        plans=(Plan("both", 6, 12, 2, 1.4, 0.8, 0.2), Plan("open", max_in_flight=3, overage_weight=0.5)),
+        gossip_inbox_per_s=3,
         max_attempts=2,
-        second_copies=False,
+        may_hedge=False,
         max_retry_after_ms=0.0,
     ),
     dict(
         plans=(Plan("free"), Plan("capped", 3, 9, 0, 1.0, 0.2, 1.0, 6, 18, 4)),
         may_cancel=False,
         max_attempts=1,
-        settles=False,
+        post_paid=False,
+    ),
+    dict(
+        plans=(Plan("rated", 2, 8, overage_weight=0.9),),
+        may_gossip=False,
+        slow_start_ms=0.0,
+        report_fields=(),
     ),
-    dict(plans=(Plan("rated", 2, 8, over_worth=0.9),), may_tell=False, warm_up_ms=0.0, report_fields=()),
 )
 
 
@@ -375,26 +418,28 @@
     rng = random.Random(seed)
     gateways = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
     now, serial, sends, outs = 50_000.0, 0, [], []
-    fleet = [Server(f"s{n}", "z0", 0, State.READY) for n in range(5)]
-    cold = Server("cold", "z0", 0, State.READY, 1.0, 52_000.0)
+    fleet = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(5)]
+    cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 52_000.0)
     while now < 56_000:
         now += TICK
         for n, controller in gateways.items():
             events = []
             if now == 50_004.0:
-                events.append(Fleet(tuple(fleet)))
+                events.append(EndpointUpdate(tuple(fleet)))
             if now == 52_000.0:
-                events.append(Fleet((cold,), complete=False))
+                events.append(EndpointUpdate((cold,), is_snapshot=False))
             if rng.random() < 0.12:
                 serial += 1
-                events.append(Arrival(serial, f"c{serial % 400}", "look", "rated", now + 1500, 1, 0, 3))
+                events.append(
+                    RequestArrived(serial, f"c{serial % 400}", "look", "rated", now + 1500, 1, 0, 3)
+                )
             while outs and outs[0][0] <= now and outs[0][1] == n:
                 _, _, number, server = heapq.heappop(outs)
-                events.append(Outcome(number, 0, server, 120.0, Result.OK, True))
+                events.append(AttemptEnded(number, 0, server, 120.0, AttemptResult.OK, True))
             for action in controller.handle(now, events):
-                if isinstance(action, Send):
-                    sends.append((now, action.server))
-                    heapq.heappush(outs, (now + 120, n, action.id, action.server))
+                if isinstance(action, SendAttempt):
+                    sends.append((now, action.endpoint))
+                    heapq.heappush(outs, (now + 120, n, action.id, action.endpoint))
         outs.sort()
     for start in range(52_000, 54_500, 100):
         window = [server for at, server in sends if start <= at < start + 1500]
@@ -412,19 +457,19 @@
     config = settings(
         gateways=gateways,
         plans=(Plan("free"),),
-        classes=(RequestClass("look", 4000, 15_000, 2, Repeat.SAFE),),
+        classes=(RequestClass("look", 4000, 15_000, 2, Idempotency.IDEMPOTENT),),
     )
     town = {n: Controller(replace(config, number=n), rng.randrange(1 << 30)) for n in range(gateways)}
     now = begin = 50_000.0
     start = begin + 2000 * known
-    before = [Server(f"s{n}", "z0", 0, State.READY) for n in range(servers)]
+    before = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(servers)]
     after = [server if n < warm else replace(server, started_ms=start) for n, server in enumerate(before)]
     later, sent, serial = [], {server.id: [] for server in after[warm:]}, 0
     for n in town:
-        heapq.heappush(later, (begin, next(order), n, Fleet(tuple(before if known else after))))
+        heapq.heappush(later, (begin, next(order), n, EndpointUpdate(tuple(before if known else after))))
         if known:
             learned = start + rng.uniform(0, start_spread_ms)
-            heapq.heappush(later, (learned, next(order), n, Fleet(tuple(after))))
+            heapq.heappush(later, (learned, next(order), n, EndpointUpdate(tuple(after))))
     while now < start + 2400:
         now += TICK
         inbox = {}
@@ -432,36 +477,45 @@
             for _ in range(3):
                 serial += 1
                 inbox.setdefault(rng.randrange(gateways), []).append(
-                    Arrival(serial, f"{serial % 97:016x}", "look", "free", now + 15_000, 1, 0, gateways)
+                    RequestArrived(
+                        serial, f"{serial % 97:016x}", "look", "free", now + 15_000, 1, 0, gateways
+                    )
                 )
         while later and later[0][0] <= now:
             _, _, gateway, event = heapq.heappop(later)
             inbox.setdefault(gateway, []).append(event)
         for n, events in inbox.items():
             for action in town[n].handle(now, events):
-                if isinstance(action, Send):
-                    if now >= start and action.server in sent:
-                        sent[action.server].append(now)
+                if isinstance(action, SendAttempt):
+                    if now >= start and action.endpoint in sent:
+                        sent[action.endpoint].append(now)
                     attempt = town[n].requests[action.id].attempts - 1 if action.id in town[n].requests else 0
-                    result = Result.ERROR if rng.random() < 1 / 6 else Result.OK
-                    took = 20.0 if result is Result.ERROR else 900.0 if rng.random() < 0.1 else 70.0
+                    result = AttemptResult.ERROR if rng.random() < 1 / 6 else AttemptResult.OK
+                    took = 20.0 if result is AttemptResult.ERROR else 900.0 if rng.random() < 0.1 else 70.0
                     heapq.heappush(
                         later,
                         (
                             now + took,
                             next(order),
                             n,
-                            Outcome(action.id, attempt, action.server, took, result, result is Result.OK),
+                            AttemptEnded(
+                                action.id, attempt, action.endpoint, took, result, result is AttemptResult.OK
+                            ),
                         ),
                     )
-                elif isinstance(action, Wake):
-                    heapq.heappush(later, (now + max(1.0, action.after_ms), next(order), n, Woken("agenda")))
+                elif isinstance(action, SetTimer):
+                    heapq.heappush(
+                        later, (now + max(1.0, action.after_ms), next(order), n, TimerFired("agenda"))
+                    )
     beyond = -math.inf
     for times in sent.values():
         for first, since in enumerate(times):
-            count = sum(at < since + config.fall_window_ms for at in times[first:])
-            warmth = config.cold_from + (1 - config.cold_from) * (since - start) / config.warm_up_ms
-            allowed = config.fall_multiple * warmth * calls_per_s * config.fall_window_ms / 1000
+            count = sum(at < since + config.overload_window_ms for at in times[first:])
+            warmth = (
+                config.slow_start_floor
+                + (1 - config.slow_start_floor) * (since - start) / config.slow_start_ms
+            )
+            allowed = config.overload_multiple * warmth * calls_per_s * config.overload_window_ms / 1000
             beyond = max(beyond, count - (allowed + 2 * allowed**0.5 + 2))
     assert sum(map(len, sent.values()))  # a cold server has to be tried, or it never serves
     return beyond
@@ -479,10 +533,13 @@
     """The share of the units sent on that are beyond quotas, and of the tries refused of customers inside
     theirs. Every eighth customer asks for three times its quota, some for nearly all, others for a third."""
     rng, plan, order = random.Random(seed), Plan("rated", 4, 12), itertools.count()
-    look = RequestClass("look", 600, 1500, 2, Repeat.SAFE)
+    look = RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT)
     config = dict(gateways=gateways, plans=(plan,), classes=(look,))
     town = {n: Controller(settings(number=n, **config), rng.randrange(1 << 30)) for n in range(gateways)}
-    inbox = {n: [Fleet(tuple(Server(f"s{n}", "z0", 0, State.READY) for n in range(20)))] for n in town}
+    inbox = {
+        n: [EndpointUpdate(tuple(Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(20)))]
+        for n in town
+    }
     use = [3.0 if n % 8 == 0 else 0.9 if n % 8 == 1 else 0.33 for n in range(customers)]
     asked, stores, later, serial = {}, {}, [], 0
     sent = beyond = quiet = refused = 0
@@ -500,7 +557,7 @@
             asked[serial] = number
             quiet += use[number] < 1
             inbox[(number + place) % gateways].append(
-                Arrival(
+                RequestArrived(
                     serial,
                     f"{number:016x}",
                     "look",
@@ -518,17 +575,24 @@
             events, inbox[n] = inbox[n], []
             for action in town[n].handle(now, events):
                 delay, event, receiver = 0.0, None, n
-                if isinstance(action, Send):
-                    delay, event = 60.0, Outcome(action.id, 0, action.server, 60.0, Result.OK, True)
+                if isinstance(action, SendAttempt):
+                    delay, event = (
+                        60.0,
+                        AttemptEnded(action.id, 0, action.endpoint, 60.0, AttemptResult.OK, True),
+                    )
                     level, at = stores.get(asked[action.id], (plan.burst, begin))
                     level = min(plan.burst, level + (now - at) / 1000 * plan.rate_per_s)
                     sent, beyond = sent + 1, beyond + (level < 1)
                     stores[asked[action.id]] = level - (level >= 1), now
-                elif isinstance(action, Wake):
-                    delay, event = max(action.after_ms, 1e-3), Woken(action.name)
-                elif isinstance(action, Tell) and rng.random() > 0.05:
-                    delay, event, receiver = rng.uniform(1, 39), Heard(n, action.data), action.receiver
-                elif isinstance(action, Refuse):
+                elif isinstance(action, SetTimer):
+                    delay, event = max(action.after_ms, 1e-3), TimerFired(action.name)
+                elif isinstance(action, SendGossip) and rng.random() > 0.05:
+                    delay, event, receiver = (
+                        rng.uniform(1, 39),
+                        GossipReceived(n, action.data),
+                        action.receiver,
+                    )
+                elif isinstance(action, Reject):
                     refused += use[asked[action.id]] < 1
                 if event is not None:
                     heapq.heappush(later, (now + delay, next(order), receiver, event))
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -5,7 +5,16 @@
 from test_module import FLEET
 from test_rules import settings
 
-from gateway.model.interface import Arrival, Heard, Outcome, Plan, Refuse, Result, Send, Tell
+from gateway.model.interface import (
+    AttemptEnded,
+    AttemptResult,
+    GossipReceived,
+    Plan,
+    Reject,
+    RequestArrived,
+    SendAttempt,
+    SendGossip,
+)
 from gateway.model.records import Store
 from gateway.policy import hot_restart as succession
 from gateway.policy.controller import Controller
@@ -14,8 +23,8 @@
 SETTINGS = settings(
     gateways=2,
     plans=(
-        Plan("rated", 4, 12, over_cost=1.0),  # nothing goes beyond the quota
-        Plan("capped", 8, 16, over_cost=1.0, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
+        Plan("rated", 4, 12, overage_cost=1.0),  # nothing goes beyond the quota
+        Plan("capped", 8, 16, overage_cost=1.0, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
     ),
 )
 
@@ -27,11 +36,11 @@
 
 
 def arrivals(numbers, customer, now, plan="rated"):
-    return [Arrival(number, customer, "look", plan, now + 1400, 1, 0, 1) for number in numbers]
+    return [RequestArrived(number, customer, "look", plan, now + 1400, 1, 0, 1) for number in numbers]
 
 
 def sends(actions):
-    return [action.id for action in actions if isinstance(action, Send)]
+    return [action.id for action in actions if isinstance(action, SendAttempt)]
 
 
 def handed_over(old, new, now):
@@ -43,8 +52,8 @@
     sent = []
     for number in numbers:
         actions = controller.handle(now, arrivals([number], "c", now))
-        for send in (action for action in actions if isinstance(action, Send)):
-            controller.handle(now, [Outcome(send.id, 0, send.server, 1.0, Result.OK, True)])
+        for send in (action for action in actions if isinstance(action, SendAttempt)):
+            controller.handle(now, [AttemptEnded(send.id, 0, send.endpoint, 1.0, AttemptResult.OK, True)])
             sent.append(send.id)
     return sent
 
@@ -64,11 +73,15 @@
     handed_over(old, new, now)
     actions = old.handle(now, arrivals([1], "c", now))
     assert not sends(actions)
-    (told,) = [action for action in actions if isinstance(action, Tell)]
+    (told,) = [action for action in actions if isinstance(action, SendGossip)]
     assert told.receiver == 0  # its own number: the other process
-    (reply,) = [action for action in new.handle(now + 1, [Heard(0, told.data)]) if isinstance(action, Tell)]
+    (reply,) = [
+        action
+        for action in new.handle(now + 1, [GossipReceived(0, told.data)])
+        if isinstance(action, SendGossip)
+    ]
     assert reply.receiver == 0
-    assert sends(old.handle(now + 2, [Heard(0, reply.data)])) == [1]
+    assert sends(old.handle(now + 2, [GossipReceived(0, reply.data)])) == [1]
     level = next(iter(new.quota.stores.values())).level
     assert level <= 11.01  # its units are taken where the store is now
 
@@ -78,14 +91,14 @@
     now = START + 10
     let_in(old, range(12), now)
     waiting = old.handle(now, arrivals([50], "c", now))
-    assert not sends(waiting) and Refuse not in [type(one) for one in waiting if getattr(one, "id", 0) == 50]
+    assert not sends(waiting) and Reject not in [type(one) for one in waiting if getattr(one, "id", 0) == 50]
     handed_over(old, new, now)
     assert any(store.queue for store in new.quota.stores.values())
     for step in range(1, 300):
-        told = [action for action in new.handle(now + 4 * step, []) if isinstance(action, Tell)]
+        told = [action for action in new.handle(now + 4 * step, []) if isinstance(action, SendGossip)]
         if told:
             break
-    assert sends(old.handle(now + 4 * step, [Heard(0, told[0].data)])) == [50]
+    assert sends(old.handle(now + 4 * step, [GossipReceived(0, told[0].data)])) == [50]
 
 
 def test_ceilings_pass_on_and_come_back_empty():
--- a/tests/test_surroundings.py
+++ b/tests/test_surroundings.py
@@ -38,12 +38,12 @@
         target, writer = await fake.called()
         assert target == "/discovery/hosts" and not discovery.listed.is_set()
         writer.write(told(listing(entry("w1", 5001), index=41)))
-        assert (await lists.get()).complete and discovery.listed.is_set()
+        assert (await lists.get()).is_snapshot and discovery.listed.is_set()
         target, writer = await fake.called()
         assert target == WATCH.format(41)
         writer.write(told(listing(entry("w1", 5001, "gone"), index=43, snapshot=False)))
         news = await lists.get()
-        assert not news.complete and news.entries[0].server.state.value == "gone"
+        assert not news.is_snapshot and news.entries[0].server.state.value == "gone"
         assert (await fake.called())[0] == WATCH.format(43)
 
     watched(scenario)
@@ -316,7 +316,7 @@
         odd = [{"name": "w"}, 3, entry("w2", 0), entry("w3", 5001, "asleep")]
         writer.write(told(listing(*odd, entry("w1", 5001), index=41)))
         news = await lists.get()
-        assert [one.server.id for one in news.entries] == ["w1"] and news.complete
+        assert [one.server.id for one in news.entries] == ["w1"] and news.is_snapshot
         assert (await fake.called())[0] == WATCH.format(41)
 
     watched(scenario)
@@ -445,7 +445,7 @@
         text = json.dumps(listing(*(entry(f"s-{n:08x}", 5000 + n) for n in range(1024)), index=41), indent=4)
         writer.write(answer(body=text.encode()))
         news = await lists.get()
-        assert len({one.server.id for one in news.entries}) == len(news.entries) == 1024 and news.complete
+        assert len({one.server.id for one in news.entries}) == len(news.entries) == 1024 and news.is_snapshot
 
     watched(scenario)
 
