--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -1,136 +1,183 @@
-"""The bytes that gateways send each other, at most 256: quota business and sightings of servers."""
+"""The datagrams of gateways to each other: quota entries and observations of endpoints, at most 256 bytes."""
 
 from __future__ import annotations
 
 import math
 import struct
 import zlib
+from collections.abc import Sequence
 from enum import IntEnum
 from typing import NamedTuple
 
 MAX_BYTES = 256
+MAX_OBSERVATIONS = 4
+MAX_INDEXES = 16  # classes and plans that can be told of
 _VERSION = 2
-_HEAD = struct.Struct("<BHHB")  # version, boot number, room of the sender x 64, items
-_ITEM = struct.Struct("<BIHHHB")  # kind, customer tag, serial, units x 16, asked a second x 16, both indexes
-_SIGHTING = struct.Struct("<HB")  # server tag, class and grade
-MAX_SIGHTINGS = 4
-MAX_INDEX = 16  # classes and plans that can be told of
-MAX_ITEMS = (MAX_BYTES - _HEAD.size - MAX_SIGHTINGS * _SIGHTING.size) // _ITEM.size
+_HEAD = struct.Struct("<BHHB")  # version, incarnation, target concurrency, number of entries
+_ENTRY = struct.Struct("<BIHHHB")  # kind, customer tag, lease id, units, demand, class and plan index
+_OBSERVATION = struct.Struct("<HB")  # endpoint tag, class index and grade
+MAX_ENTRIES = (MAX_BYTES - _HEAD.size - MAX_OBSERVATIONS * _OBSERVATION.size) // _ENTRY.size
 
+_MAX_UINT16 = 0xFFFF
+_CONCURRENCY_SCALE = 64  # fixed-point numbers count in such parts
+_UNITS_SCALE = 16
+_FAILED_GRADE = 15
+_EXPECTED_GRADE = 4  # as fast as expected; two grades for each doubling
+_GRADES_PER_DOUBLING = 2
+_MIN_RATIO = 0.25  # latency ratios that a grade can hold
+_MAX_RATIO = 32.0
 
-class Kind(IntEnum):
-    """What an item says."""
 
-    ASK = 1  # to the home: may so many units go on?
-    GRANT = 2  # from the home: they may
-    WAIT = 3  # from the home: heard, but not now
-    SPENT = 4  # to the home: they went on without a grant
-    BACK = 5  # to the home: not needed, or no longer out
-    AGAIN = 6  # an ASK for a client's repeat
-    DENY = 7  # from the home: not in any time that is of use
+class EntryKind(IntEnum):
+    """What a quota entry says."""
 
+    REQUEST = 1  # to the leader: may so many units be admitted?
+    GRANT = 2  # from the leader: they may
+    QUEUED = 3  # from the leader: received, but not now
+    USED = 4  # to the leader: they were admitted without a grant
+    RETURN = 5  # to the leader: not needed, or no longer in flight
+    RETRY_REQUEST = 6  # a REQUEST for a client's retry
+    DENY = 7  # from the leader: not in any time that is of use
 
-class Item(NamedTuple):
-    """One piece of business about one try of a customer."""
+    @property
+    def is_reply(self) -> bool:
+        """Whether a leader says it."""
+        return self in (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY)
 
-    kind: Kind
-    tag: int
-    serial: int
+
+_KINDS = frozenset(int(kind) for kind in EntryKind)
+
+
+class QuotaEntry(NamedTuple):
+    """One statement about one request of a customer."""
+
+    kind: EntryKind
+    customer_tag: int
+    lease_id: int
     units: float
-    asked_per_s: float  # of the sender; from a home, of the whole set
+    demand_per_s: float  # as the sender sees it; from a leader, of all gateways
     class_index: int
     plan_index: int
 
+    @property
+    def bucket_name(self) -> int:
+        """The name of the leader's bucket that it is about: of a customer, and of the plan that it names."""
+        return self.customer_tag << 4 | self.plan_index
+
 
-class Sighting(NamedTuple):
-    """How one attempt at a server went at the sender."""
+class EndpointObservation(NamedTuple):
+    """How one attempt at an endpoint went at the sender."""
 
-    server: int
+    endpoint_tag: int
     class_index: int
     grade: int
 
 
-class News(NamedTuple):
-    """One message."""
+class GossipMessage(NamedTuple):
+    """One datagram."""
 
-    boot: int
-    room: float
-    items: tuple[Item, ...]
-    sightings: tuple[Sighting, ...]
+    incarnation: int
+    target_concurrency: float
+    entries: tuple[QuotaEntry, ...]
+    observations: tuple[EndpointObservation, ...]
 
 
-_FAILED, _EVEN = 15, 4  # grades: failed; as fast as usual, with two grades for each doubling
+def observe(endpoint_id: str, class_index: int, latency_ratio: float) -> EndpointObservation:
+    """Return what an attempt showed: its latency against the expected one, or inf for a failure."""
+    grade = _FAILED_GRADE
+    if latency_ratio != math.inf:
+        bounded = max(_MIN_RATIO, min(_MAX_RATIO, latency_ratio))
+        grade = _EXPECTED_GRADE + round(_GRADES_PER_DOUBLING * math.log2(bounded))
+    return EndpointObservation(endpoint_tag(endpoint_id), class_index, grade)
 
 
-def sighting(server: str, class_index: int, ratio: float) -> Sighting:
-    """What was seen of a server: the answer time against the usual, or inf for a failure."""
-    grade = _FAILED if ratio == math.inf else _EVEN + round(2 * math.log2(max(0.25, min(32.0, ratio))))
-    return Sighting(server_tag(server), class_index, grade)
+def latency_ratio_of(observation: EndpointObservation) -> float:
+    """Return the latency against the expected one that an observation tells, inf for a failure."""
+    if observation.grade == _FAILED_GRADE:
+        return math.inf
+    return 2 ** ((observation.grade - _EXPECTED_GRADE) / _GRADES_PER_DOUBLING)
 
 
-def ratio_of(seen: Sighting) -> float:
-    """The answer time against the usual that a sighting tells, inf for a failure."""
-    return math.inf if seen.grade == _FAILED else 2 ** ((seen.grade - _EVEN) / 2)
-
-
-def tag_of(customer: str) -> int:
-    """A short stand-in for a customer's name; the same at every gateway."""
+def customer_tag(customer: str) -> int:
+    """Return a 32-bit stand-in for a customer's name; the same at every gateway."""
     return zlib.crc32(customer.encode())
 
 
-def server_tag(server: str) -> int:
-    """A short stand-in for a server's id."""
-    return zlib.crc32(server.encode()) & 0xFFFF
-
+def endpoint_tag(endpoint_id: str) -> int:
+    """Return a 16-bit stand-in for an endpoint's id; the same at every gateway."""
+    return zlib.crc32(endpoint_id.encode()) & _MAX_UINT16
 
-def encode(boot: int, room: float, items: list[Item], sightings: list[Sighting]) -> bytes:
-    """The message; items and sightings beyond what it holds are left out, and so is what has no room in one:
-    raising here would cost the sender a whole turn."""
-    items = [item for item in items[:MAX_ITEMS] if max(item.class_index, item.plan_index) < MAX_INDEX]
-    sightings = [seen for seen in sightings[:MAX_SIGHTINGS] if seen.class_index < MAX_INDEX]
-    parts = [_HEAD.pack(_VERSION, boot & 0xFFFF, _clip(room * 64), len(items))]
-    for item in items:
-        parts.append(
-            _ITEM.pack(
-                item.kind,
-                item.tag,
-                item.serial & 0xFFFF,
-                _clip(item.units * 16),
-                _clip(item.asked_per_s * 16),
-                item.class_index << 4 | item.plan_index,
-            )
-        )
-    parts += [_SIGHTING.pack(seen.server, seen.class_index << 4 | seen.grade) for seen in sightings]
-    return b"".join(parts)
 
+def encode(
+    incarnation: int,
+    target_concurrency: float,
+    entries: Sequence[QuotaEntry],
+    observations: Sequence[EndpointObservation],
+) -> bytes:
+    """Return the datagram. What it can't hold is left out.
 
-def _clip(value: float) -> int:
-    return max(0, min(0xFFFF, round(value)))
+    That goes for entries and observations beyond the most, and for indexes beyond what its fields hold: an
+    error here would cost the sender a whole turn.
+    """
+    sent_entries = [entry for entry in entries[:MAX_ENTRIES] if _fits(entry)]
+    sent_observations = [seen for seen in observations[:MAX_OBSERVATIONS] if seen.class_index < MAX_INDEXES]
+    concurrency = _fixed_point(target_concurrency, _CONCURRENCY_SCALE)
+    head = _HEAD.pack(_VERSION, incarnation & _MAX_UINT16, concurrency, len(sent_entries))
+    return b"".join([head, *map(_pack_entry, sent_entries), *map(_pack_observation, sent_observations)])
 
 
-def decode(data: bytes) -> News | None:
-    """The message in these bytes, or None where they cannot be read."""
+def decode(data: bytes) -> GossipMessage | None:
+    """Return the message in a datagram, or None where it can't be read."""
     if len(data) < _HEAD.size or len(data) > MAX_BYTES or data[0] != _VERSION:
         return None
-    _, boot, room, count = _HEAD.unpack_from(data)
-    body = _HEAD.size + count * _ITEM.size
-    if len(data) < body or (len(data) - body) % _SIGHTING.size:
+    _, incarnation, concurrency, count = _HEAD.unpack_from(data)
+    end_of_entries = _HEAD.size + count * _ENTRY.size
+    if len(data) < end_of_entries or (len(data) - end_of_entries) % _OBSERVATION.size:
         return None
-    rows = list(_ITEM.iter_unpack(data[_HEAD.size : body]))
+    rows = list(_ENTRY.iter_unpack(data[_HEAD.size : end_of_entries]))
     if any(row[0] not in _KINDS for row in rows):
         return None
-    return News(
-        boot,
-        room / 64,
-        tuple(
-            Item(Kind(kind), tag, serial, units / 16, asked / 16, packed >> 4, packed & 15)
-            for kind, tag, serial, units, asked, packed in rows
-        ),
+    return GossipMessage(
+        incarnation,
+        concurrency / _CONCURRENCY_SCALE,
+        tuple(_entry_from(*row) for row in rows),
         tuple(
-            Sighting(server, packed >> 4, packed & 15)
-            for server, packed in _SIGHTING.iter_unpack(data[body:])
+            EndpointObservation(tag, packed >> 4, packed & 15)
+            for tag, packed in _OBSERVATION.iter_unpack(data[end_of_entries:])
         ),
     )
 
 
-_KINDS = frozenset(int(kind) for kind in Kind)
+def _fits(entry: QuotaEntry) -> bool:
+    return max(entry.class_index, entry.plan_index) < MAX_INDEXES
+
+
+def _fixed_point(value: float, scale: int) -> int:
+    return max(0, min(_MAX_UINT16, round(value * scale)))
+
+
+def _pack_entry(entry: QuotaEntry) -> bytes:
+    return _ENTRY.pack(
+        entry.kind,
+        entry.customer_tag,
+        entry.lease_id & _MAX_UINT16,
+        _fixed_point(entry.units, _UNITS_SCALE),
+        _fixed_point(entry.demand_per_s, _UNITS_SCALE),
+        entry.class_index << 4 | entry.plan_index,
+    )
+
+
+def _pack_observation(seen: EndpointObservation) -> bytes:
+    return _OBSERVATION.pack(seen.endpoint_tag, seen.class_index << 4 | seen.grade)
+
+
+def _entry_from(kind: int, tag: int, lease_id: int, units: int, demand: int, indexes: int) -> QuotaEntry:
+    return QuotaEntry(
+        EntryKind(kind),
+        tag,
+        lease_id,
+        units / _UNITS_SCALE,
+        demand / _UNITS_SCALE,
+        indexes >> 4,
+        indexes & 15,
+    )
--- a/gateway/model/records.py
+++ b/gateway/model/records.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from gateway.gossip.codec import Item, Sighting
+from gateway.gossip.codec import EndpointObservation, QuotaEntry
 from gateway.model.events import Endpoint, RequestArrived
 from gateway.model.settings import Plan, RequestClass, Settings
 
@@ -49,7 +49,7 @@
     """A try that waits at its customer's home."""
 
     key: tuple[int, int, int]  # gateway, its boot number, serial
-    item: Item
+    item: QuotaEntry
     priority_weight: float
     came_ms: float
     expires_at_ms: float
@@ -135,7 +135,7 @@
     accounts: dict[tuple[str, str, int, int], Account] = field(default_factory=dict)
     stores: dict[int, Store] = field(default_factory=dict)  # of which this gateway is the home, by store_name
     asking: dict[int, Request] = field(default_factory=dict)  # by serial
-    outbox: dict[int, list[Item]] = field(default_factory=dict)  # by gateway
+    outbox: dict[int, list[QuotaEntry]] = field(default_factory=dict)  # by gateway
     heard_ms: dict[int, float] = field(default_factory=dict)  # when other gateways last told us anything
     told_ms: dict[int, float] = field(default_factory=dict)  # and we them
     heard: float = 0.0  # fading count of messages heard
@@ -163,4 +163,4 @@
     firsts: float = 0.0  # fading count of requests that tried for a cold server, and of all their tries
     tosses: float = 0.0
     sends: float = 0.0  # fading count of our sends
-    sightings: list[tuple[float, Sighting]] = field(default_factory=list)
+    sightings: list[tuple[float, EndpointObservation]] = field(default_factory=list)
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -284,12 +284,12 @@
         ):
             return
         self.quota.heard_ms[event.sender], self.quota.heard = self.now, self.quota.heard + 1
-        self.window.fleet_room += (news.room - self.window.fleet_room) * FLEET_GAIN
+        self.window.fleet_room += (news.target_concurrency - self.window.fleet_room) * FLEET_GAIN
         if not self.stalled:
-            self.servers.hear(self.now, news.sightings)
+            self.servers.hear(self.now, news.observations)
         self.quota.silent.discard(event.sender)
-        for item in news.items:
-            self.quota.hear(self.now, event.sender, news.boot, item)
+        for item in news.entries:
+            self.quota.hear(self.now, event.sender, news.incarnation, item)
 
     def on_arrival(self, arrival: RequestArrived) -> None:
         kind, plan = self.classes.get(arrival.class_name), self.plans.get(arrival.plan_name)
--- a/gateway/policy/endpoints.py
+++ b/gateway/policy/endpoints.py
@@ -6,7 +6,13 @@
 from collections import Counter
 from dataclasses import replace
 
-from gateway.gossip.codec import MAX_SIGHTINGS, Sighting, ratio_of, server_tag, sighting
+from gateway.gossip.codec import (
+    MAX_OBSERVATIONS,
+    EndpointObservation,
+    endpoint_tag,
+    latency_ratio_of,
+    observe,
+)
 from gateway.model.events import EndpointState, EndpointUpdate
 from gateway.model.records import Backend, Request, ServersState
 from gateway.model.settings import Idempotency
@@ -55,9 +61,11 @@
         }
         # A tag is short: of 200 servers two share one on a quarter of the days. What is heard of such a tag
         # may be about either, and counts for neither.
-        shared = Counter(map(server_tag, self.known))
+        shared = Counter(map(endpoint_tag, self.known))
         self.by_tag = {
-            server_tag(name): backend for name, backend in self.known.items() if shared[server_tag(name)] == 1
+            endpoint_tag(name): backend
+            for name, backend in self.known.items()
+            if shared[endpoint_tag(name)] == 1
         }
 
     def sort(self, now: float) -> None:
@@ -87,7 +95,7 @@
         if length >= size:
             return servers
         zones: dict[str, list[Backend]] = {}
-        for backend in sorted(servers, key=lambda one: (server_tag(one.entry.id), one.entry.id)):
+        for backend in sorted(servers, key=lambda one: (endpoint_tag(one.entry.id), one.entry.id)):
             zones.setdefault(backend.entry.zone, []).append(backend)
         places = [
             ((n + 0.5) / len(zone), name, backend)
@@ -201,13 +209,13 @@
             backend.slow += (min(SLOW_MOST, ratio) - backend.slow) * SLOW_GAIN * weight
         backend.seen_ms = now
         if weight > HEARD_WEIGHT:  # first-hand: worth telling
-            seen = sighting(backend.entry.id, self.names.index(name), ratio)
-            self.sightings = [*self.sightings[1 - MAX_SIGHTINGS :], (now, seen)]
+            seen = observe(backend.entry.id, self.names.index(name), ratio)
+            self.sightings = [*self.sightings[1 - MAX_OBSERVATIONS :], (now, seen)]
 
-    def hear(self, now: float, sightings: tuple[Sighting, ...]) -> None:
+    def hear(self, now: float, sightings: tuple[EndpointObservation, ...]) -> None:
         """What a peer saw weighs the less the more we see ourselves, or all would flee and crowd alike."""
         weight = HEARD_WEIGHT / (1 + CHOICE_PER_SEND * self.sends / max(1, len(self.warm)))
         for seen in sightings:
-            backend = self.by_tag.get(seen.server)
+            backend = self.by_tag.get(seen.endpoint_tag)
             if backend is not None and seen.class_index < len(self.names):
-                self.learn(now, backend, self.names[seen.class_index], ratio_of(seen), weight)
+                self.learn(now, backend, self.names[seen.class_index], latency_ratio_of(seen), weight)
--- a/gateway/policy/hot_restart.py
+++ b/gateway/policy/hot_restart.py
@@ -8,7 +8,7 @@
 import math
 from typing import TYPE_CHECKING, Any
 
-from gateway.gossip.codec import Item, Kind
+from gateway.gossip.codec import EntryKind, QuotaEntry
 from gateway.model.records import Ask, Store
 
 if TYPE_CHECKING:
@@ -124,7 +124,13 @@
             plan = quota.settings.plans[index]
             store = quota.stores[name] = Store(plan, level, at_ms + shift, ceiling, asked)
             store.queue = [
-                Ask(key_from(key), Item(Kind(item[0]), *item[1:]), worth, came_ms + shift, until_ms + shift)
+                Ask(
+                    key_from(key),
+                    QuotaEntry(EntryKind(item[0]), *item[1:]),
+                    worth,
+                    came_ms + shift,
+                    until_ms + shift,
+                )
                 for key, item, worth, came_ms, until_ms in queue
             ]
             store.leases = {key_from(key): until + shift for key, until in leases}
--- a/gateway/policy/quota.py
+++ b/gateway/policy/quota.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Iterable
 
-from gateway.gossip.codec import MAX_ITEMS, Item, Kind, tag_of
+from gateway.gossip.codec import MAX_ENTRIES, EntryKind, QuotaEntry, customer_tag
 from gateway.model.events import RequestArrived
 from gateway.model.records import Account, Ask, QuotaState, Request, Store
 from gateway.model.settings import Plan
@@ -28,9 +28,9 @@
 FORGET_MS = 8000.0  # after so long what is over is forgotten
 
 
-def store_name(item: Item) -> int:
+def store_name(item: QuotaEntry) -> int:
     """The store that an item of business is about: of a customer, and of the plan that is said to be its."""
-    return item.tag << 4 | item.plan_index
+    return item.customer_tag << 4 | item.plan_index
 
 
 class Quota(QuotaState):
@@ -62,7 +62,7 @@
 
     def new_account(self, now: float, name: tuple[str, str, int, int], plan: Plan) -> Account:
         customer, _, spread, first_gateway = name
-        spread, tag = max(1, min(spread, self.settings.gateways)), tag_of(customer)
+        spread, tag = max(1, min(spread, self.settings.gateways)), customer_tag(customer)
         account = Account(plan, tag, spread, (first_gateway + tag % spread) % self.settings.gateways, now)
         account.ceiling = self.untouched(now, plan) * (1 - HOME_CEILING) / spread
         return account
@@ -136,12 +136,14 @@
         if self.succeeded or request.plan.ceiling_per_s and units > account.ceiling:
             return False
         account.own, account.ceiling, request.paid = account.own - units, account.ceiling - units, units
-        self.tell_home(now, Kind.SPENT, request)
+        self.tell_home(now, EntryKind.USED, request)
         return True
 
     def ask(self, now: float, request: Request) -> None:
         request.asks, request.asked_ms = request.asks + 1, now
-        self.tell_home(now, Kind.AGAIN if request.arrival.is_client_retry else Kind.ASK, request)
+        self.tell_home(
+            now, EntryKind.RETRY_REQUEST if request.arrival.is_client_retry else EntryKind.REQUEST, request
+        )
         if not request.answered:
             patience = max(ASK_LEAST_MS, ASK_TIMES * self.rtt_ms) * (request.account.home not in self.silent)
             self.plan_at(now + patience, "ask", request.arrival.id)
@@ -162,7 +164,7 @@
             account.own >= 0 and not (request.plan.max_in_flight and account.out) and self.draw(now, request)
         )
 
-    def tell_home(self, now: float, kind: Kind, request: Request) -> None:
+    def tell_home(self, now: float, kind: EntryKind, request: Request) -> None:
         account = request.account
         if not request.serial:
             self.serial = request.serial = self.serial % 0xFFFF + 1
@@ -170,7 +172,7 @@
         self.say(
             now,
             account.home,
-            Item(
+            QuotaEntry(
                 kind,
                 account.tag,
                 request.serial,
@@ -187,16 +189,16 @@
         if request.asks and not request.answered:  # an answer takes longer than that; how much is not known
             self.rtt_ms += max(0.0, LATE_TIMES * (now - request.came_ms) - self.rtt_ms) * USUAL_GAIN
         if request.paid and (not request.attempts or request.plan.max_in_flight):
-            self.tell_home(now, Kind.BACK, request)
+            self.tell_home(now, EntryKind.RETURN, request)
 
-    def say(self, now: float, gateway: int, item: Item, boot: int | None = None) -> None:
+    def say(self, now: float, gateway: int, item: QuotaEntry, boot: int | None = None) -> None:
         """Tell a gateway, or the process of this one that has the boot number."""
         if gateway == self.settings.number and not self.succeeded and boot in (None, self.boot):
             self.hear(now, gateway, self.boot, item)
         elif self.settings.may_gossip:
             self.outbox.setdefault(gateway, []).append(item)
 
-    def post(self, now: float) -> list[tuple[int, list[Item]]]:
+    def post(self, now: float) -> list[tuple[int, list[QuotaEntry]]]:
         """What each gateway is told now. Danger: what comes faster than an inbox takes is lost; so while
         ours is half full, which stands in for those of our peers, business waits for more to go along."""
         self.heard_ms = {other: ms for other, ms in self.heard_ms.items() if now - ms <= TALKING_MS}
@@ -207,60 +209,60 @@
         self.told_ms.update((other, now) for other in ready)
         posts = [(other, self.outbox.pop(other)) for other in ready]
         # What a message does not hold goes with the next one; lost here, it would be asked for again.
-        self.outbox.update((other, items[MAX_ITEMS:]) for other, items in posts if items[MAX_ITEMS:])
+        self.outbox.update((other, items[MAX_ENTRIES:]) for other, items in posts if items[MAX_ENTRIES:])
         if self.outbox and now >= self.flush_ms:
             self.flush_ms = now + max(self.settings.tick_ms, gap / 2)
             self.plan_at(self.flush_ms, "flush", -1)
-        return [(other, items[:MAX_ITEMS]) for other, items in posts]
+        return [(other, items[:MAX_ENTRIES]) for other, items in posts]
 
-    def hear(self, now: float, sender: int, boot: int, item: Item) -> None:
-        if item.kind not in (Kind.GRANT, Kind.WAIT, Kind.DENY):
+    def hear(self, now: float, sender: int, boot: int, item: QuotaEntry) -> None:
+        if item.kind not in (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY):
             plans, kinds = self.settings.plans, self.settings.classes
             if not self.succeeded and item.plan_index < len(plans) and item.class_index < len(kinds):
-                self.at_home(now, (sender, boot, item.serial), item)
+                self.at_home(now, (sender, boot, item.lease_id), item)
             return
-        request = self.asking.get(item.serial)
-        if request is None or request.account.tag != item.tag or request.account.home != sender:
-            if item.kind is Kind.GRANT and not self.shared:  # it has ended meanwhile
-                self.say(now, sender, item._replace(kind=Kind.BACK))
+        request = self.asking.get(item.lease_id)
+        if request is None or request.account.tag != item.customer_tag or request.account.home != sender:
+            if item.kind is EntryKind.GRANT and not self.shared:  # it has ended meanwhile
+                self.say(now, sender, item._replace(kind=EntryKind.RETURN))
             return
-        request.account.total, request.account.total_ms = item.asked_per_s, now
+        request.account.total, request.account.total_ms = item.demand_per_s, now
         # What we ask ourselves is answered in no time, and says nothing of how long a message takes.
         if request.asks == 1 and not request.answered and sender != self.settings.number:
             self.rtt_ms += (now - request.asked_ms - self.rtt_ms) * USUAL_GAIN
         request.answered = True
-        if item.kind is Kind.DENY:
+        if item.kind is EntryKind.DENY:
             self.denied(request)
         elif not request.paid:
-            request.paid = request.arrival.units * (item.kind is Kind.GRANT)
+            request.paid = request.arrival.units * (item.kind is EntryKind.GRANT)
             if not request.paid:  # its home drops it then, so nothing is waited for any longer
                 kept_ms = request.kind.latency_objective_ms * (1 - ANSWER_PART)
                 self.plan_at(request.asked_ms + kept_ms, "expired", request.arrival.id)
-            self.answered(request, item.kind is Kind.GRANT)
+            self.answered(request, item.kind is EntryKind.GRANT)
 
-    def at_home(self, now: float, key: tuple[int, int, int], item: Item) -> None:
+    def at_home(self, now: float, key: tuple[int, int, int], item: QuotaEntry) -> None:
         plan, kind = self.settings.plans[item.plan_index], self.settings.classes[item.class_index]
         name = store_name(item)
         store = self.stores.get(name)
         if store is None:
             store = self.stores[name] = Store(plan, plan.burst, now, self.untouched_at_home(now, plan))
         queued = any(ask.key == key for ask in store.queue)
-        asked = item.kind in (Kind.ASK, Kind.AGAIN)
+        asked = item.kind in (EntryKind.REQUEST, EntryKind.RETRY_REQUEST)
         if asked and key in store.done:
-            self.reply(now, Kind.GRANT, key, item, store)  # the first answer was lost
+            self.reply(now, EntryKind.GRANT, key, item, store)  # the first answer was lost
         elif asked and not queued:
             store.asked += item.units
-            worth = kind.priority_weight if item.kind is Kind.ASK else 0.0
+            worth = kind.priority_weight if item.kind is EntryKind.REQUEST else 0.0
             ask = Ask(key, item, worth, now, now + kind.latency_objective_ms * (1 - ANSWER_PART))
             store.queue.append(ask)
             self.serve(now, name)
             if ask in store.queue:
-                self.reply(now, Kind.WAIT, key, item, store)
-        elif item.kind is Kind.SPENT and key not in store.done:
+                self.reply(now, EntryKind.QUEUED, key, item, store)
+        elif item.kind is EntryKind.USED and key not in store.done:
             store.queue = [ask for ask in store.queue if ask.key != key]
             store.asked += 0.0 if queued else item.units
             self.book(now, store, key, item, 0.0)
-        elif item.kind is Kind.BACK:
+        elif item.kind is EntryKind.RETURN:
             if store.leases.pop(key, None) is None and key in store.done and not plan.max_in_flight:
                 store.level = min(plan.burst, store.level + item.units)
             self.serve(now, name)
@@ -299,7 +301,7 @@
                 return
             store.queue.pop()
             self.book(now, store, ask.key, ask.item, ask.item.units)
-            self.reply(now, Kind.GRANT, ask.key, ask.item, store)
+            self.reply(now, EntryKind.GRANT, ask.key, ask.item, store)
 
     @staticmethod
     def spare(store: Store, ask: Ask, top: float) -> float:
@@ -315,13 +317,15 @@
             spare = self.spare(store, ask, top)
             wait_s = (ahead + ask.item.units + spare - store.level) / store.plan.rate_per_s
             if now + wait_s * 1000 > ask.expires_at_ms:
-                self.reply(now, Kind.DENY, ask.key, ask.item, store)
+                self.reply(now, EntryKind.DENY, ask.key, ask.item, store)
             else:
                 kept.append(ask)
                 ahead += ask.item.units
         store.queue = kept[::-1]
 
-    def book(self, now: float, store: Store, key: tuple[int, int, int], item: Item, ceiling: float) -> None:
+    def book(
+        self, now: float, store: Store, key: tuple[int, int, int], item: QuotaEntry, ceiling: float
+    ) -> None:
         if len(store.done) > DONE_LEAST and now - next(iter(store.done.values())) > DONE_MS:
             store.done = {old: ms for old, ms in store.done.items() if now - ms <= DONE_MS}
         store.done[key] = now
@@ -331,6 +335,8 @@
                 now + LEASE_AIMS * self.settings.classes[item.class_index].latency_objective_ms
             )
 
-    def reply(self, now: float, kind: Kind, key: tuple[int, int, int], item: Item, store: Store) -> None:
+    def reply(
+        self, now: float, kind: EntryKind, key: tuple[int, int, int], item: QuotaEntry, store: Store
+    ) -> None:
         asked = store.asked * 1000 / DEMAND_MEMORY_MS
-        self.say(now, key[0], item._replace(kind=kind, asked_per_s=asked), key[1])
+        self.say(now, key[0], item._replace(kind=kind, demand_per_s=asked), key[1])
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -58,21 +58,27 @@
 def test_a_datagram_of_each_kind_of_item():
     recorded = {}
     for fields in ITEMS:
-        kind = messages.Kind(fields[0])
-        data = messages.encode(513, 2.5, [messages.Item(kind, *fields[1:])], [])
+        kind = messages.EntryKind(fields[0])
+        data = messages.encode(513, 2.5, [messages.QuotaEntry(kind, *fields[1:])], [])
         recorded[str(fields[0])] = data.hex()
         decoded = messages.decode(data)
-        assert tuple(decoded.items[0]) == fields and decoded.boot == 513 and decoded.room == 2.5
+        assert (
+            tuple(decoded.entries[0]) == fields
+            and decoded.incarnation == 513
+            and decoded.target_concurrency == 2.5
+        )
     check_json("datagrams.json", recorded)
 
 
 def test_a_datagram_with_everything_that_it_holds():
     items = [
-        messages.Item(messages.Kind(1 + n % 7), n * 0x1234567 & 0xFFFFFFFF, n, n / 16, n / 8, n % 16, n % 16)
+        messages.QuotaEntry(
+            messages.EntryKind(1 + n % 7), n * 0x1234567 & 0xFFFFFFFF, n, n / 16, n / 8, n % 16, n % 16
+        )
         for n in range(30)
     ]
     ratios = (0.01, 0.5, 1.0, 2.0, 7.0, 99.0, float("inf"))
-    sightings = [messages.sighting(f"10.0.0.{n}:80", n, ratio) for n, ratio in enumerate(ratios)]
+    sightings = [messages.observe(f"10.0.0.{n}:80", n, ratio) for n, ratio in enumerate(ratios)]
     check("datagram-full.bin", messages.encode(70_000, 1e9, items, sightings))
     check("datagram-reports.bin", b"".join(messages.encode(1, 0.0, [], [seen]) for seen in sightings))
 
@@ -110,9 +116,9 @@
                 )
         if step % 10 == 0:
             asks = [
-                messages.Item(
-                    messages.Kind(kind),
-                    messages.tag_of(f"customer-{kind % 5}"),
+                messages.QuotaEntry(
+                    messages.EntryKind(kind),
+                    messages.customer_tag(f"customer-{kind % 5}"),
                     step + kind,
                     1.0,
                     2.0,
@@ -122,8 +128,8 @@
                 for kind in range(1, 8)
             ]
             seen = [
-                messages.sighting("10.0.0.3:80", 0, 2.0),
-                messages.sighting("10.0.0.4:80", 1, float("inf")),
+                messages.observe("10.0.0.3:80", 0, 2.0),
+                messages.observe("10.0.0.4:80", 1, float("inf")),
             ]
             events.append(GossipReceived(1, messages.encode(3, 1.5, asks, seen)))
         for action in controller.handle(now, events):
@@ -544,16 +550,16 @@
                     f"{int(result == 'ok')}\t0\t0.{older % 10},{older % 6}"
                 )
             if step % 25 == 0:
-                item = messages.Item(
-                    messages.Kind(1 + step // 25 % 7),
-                    messages.tag_of(f"{step % 7:016x}"),
+                item = messages.QuotaEntry(
+                    messages.EntryKind(1 + step // 25 % 7),
+                    messages.customer_tag(f"{step % 7:016x}"),
                     step + 1,
                     1.0,
                     2.5,
                     step % 3,
                     step % 3,
                 )
-                data = messages.encode(9, 3.0, [item], [messages.sighting("w:3", 0, 2.0)])
+                data = messages.encode(9, 3.0, [item], [messages.observe("w:3", 0, 2.0)])
                 yield f"FROM_PEER\t{1 - n}\t{data.hex()}"
         yield "YOUR_TURN"
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -170,22 +170,24 @@
 
 
 def item(kind, customer="c", serial=1, units=1.0, asked=0.0, class_index=0, plan_index=0):
-    return messages.Item(kind, messages.tag_of(customer), serial, units, asked, class_index, plan_index)
+    return messages.QuotaEntry(
+        kind, messages.customer_tag(customer), serial, units, asked, class_index, plan_index
+    )
 
 
 def home_of(customer, first=0, spread=3):
-    return first + messages.tag_of(customer) % spread
+    return first + messages.customer_tag(customer) % spread
 
 
 def test_peer_bytes_that_cannot_be_read_change_nothing():
     c = gateway()
     c.handle(1000, [FLEET])
-    good = messages.encode(5, 1.0, [item(messages.Kind.SPENT, units=4)], [])
+    good = messages.encode(5, 1.0, [item(messages.EntryKind.USED, units=4)], [])
     odd = [
-        messages.encode(5, 1.0, [item(messages.Kind.SPENT, class_index=15)], []),
-        messages.encode(5, 1.0, [item(messages.Kind.ASK, plan_index=15)], []),
-        messages.encode(5, 1.0, [item(messages.Kind.GRANT), item(messages.Kind.WAIT)], []),
-        messages.encode(5, 1.0, [], [messages.Sighting(77, 15, 15)]),
+        messages.encode(5, 1.0, [item(messages.EntryKind.USED, class_index=15)], []),
+        messages.encode(5, 1.0, [item(messages.EntryKind.REQUEST, plan_index=15)], []),
+        messages.encode(5, 1.0, [item(messages.EntryKind.GRANT), item(messages.EntryKind.QUEUED)], []),
+        messages.encode(5, 1.0, [], [messages.EndpointObservation(77, 15, 15)]),
     ]
     bad_kind = bytearray(good)
     bad_kind[6] = 99
@@ -194,18 +196,24 @@
     c.handle(1001, [GossipReceived(9, good), GossipReceived(0, good)])
     assert not c.quota.stores and not c.requests
     c.handle(1001, [GossipReceived(1, good), GossipReceived(1, good)])  # repeated: counted once
-    assert c.quota.stores[store_name(item(messages.Kind.ASK))].level == pytest.approx(12 - 4, abs=0.1)
+    assert c.quota.stores[store_name(item(messages.EntryKind.REQUEST))].level == pytest.approx(
+        12 - 4, abs=0.1
+    )
 
 
 def test_messages_survive_a_round_trip_and_stay_small():
-    items = [item(messages.Kind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 16, 3) for n in range(100)]
+    items = [item(messages.EntryKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 16, 3) for n in range(100)]
     ratios = (0.01, 1.0, 2.0, float("inf"))
-    sightings = [messages.sighting(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
+    sightings = [messages.observe(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
     data = messages.encode(70000, 1.5, items, sightings)
     news = messages.decode(data)
-    assert len(data) <= messages.MAX_BYTES and news.boot == 70000 & 0xFFFF and news.room == 1.5
-    assert news.items == tuple(items[: messages.MAX_ITEMS]) and news.sightings == tuple(sightings)
-    assert [messages.ratio_of(seen) for seen in news.sightings] == [0.25, 1.0, 2.0, float("inf")]
+    assert (
+        len(data) <= messages.MAX_BYTES
+        and news.incarnation == 70000 & 0xFFFF
+        and news.target_concurrency == 1.5
+    )
+    assert news.entries == tuple(items[: messages.MAX_ENTRIES]) and news.observations == tuple(sightings)
+    assert [messages.latency_ratio_of(seen) for seen in news.observations] == [0.25, 1.0, 2.0, float("inf")]
 
 
 @pytest.mark.parametrize(
@@ -316,10 +324,10 @@
     number = home_of("o")
     c = gateway(number=number)
     peer = (number + 1) % 3
-    asks = [item(messages.Kind.ASK, "o", n, plan_index=2) for n in (1, 2, 3)]
+    asks = [item(messages.EntryKind.REQUEST, "o", n, plan_index=2) for n in (1, 2, 3)]
     c.handle(1000, [FLEET, GossipReceived(peer, messages.encode(1, 1.0, asks, []))])
     assert len(of(SendAttempt, c.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]))) == 1
-    free = messages.encode(1, 1.0, [item(messages.Kind.BACK, "o", 2, plan_index=2)], [])
+    free = messages.encode(1, 1.0, [item(messages.EntryKind.RETURN, "o", 2, plan_index=2)], [])
     assert len(of(SendAttempt, c.handle(1002, [GossipReceived(peer, free)]))) == 1
 
 
@@ -329,27 +337,30 @@
     c.handle(1000, [FLEET])
     granted = set()
     for n in range(300):
-        data = messages.encode(1, 1.0, [item(messages.Kind.ASK, serial=9)], [])
+        data = messages.encode(1, 1.0, [item(messages.EntryKind.REQUEST, serial=9)], [])
         if n != 7:
             for tell in of(
                 SendGossip, c.handle(1001 + n / 100, [GossipReceived(n, data), GossipReceived(n, data)])
             ):
                 news = messages.decode(tell.data)
-                granted |= {tell.receiver for told in news.items if told.kind is messages.Kind.GRANT}
+                granted |= {tell.receiver for told in news.entries if told.kind is messages.EntryKind.GRANT}
     # The class is worth half the worthiest: it leaves two fifths of the burst in store for that one.
-    assert 6 <= len(granted) <= 8 and 4.8 <= c.quota.stores[store_name(item(messages.Kind.ASK))].level < 5.9
+    assert (
+        6 <= len(granted) <= 8
+        and 4.8 <= c.quota.stores[store_name(item(messages.EntryKind.REQUEST))].level < 5.9
+    )
 
 
 def test_a_clients_repeat_leaves_a_reserve_to_first_tries():
     """Repeats come when most of their aim has gone by; lent to them, the quota is spent on late answers."""
     granted = {}
-    for kind, worthiest in ((messages.Kind.AGAIN, 0), (messages.Kind.ASK, 1)):
+    for kind, worthiest in ((messages.EntryKind.RETRY_REQUEST, 0), (messages.EntryKind.REQUEST, 1)):
         c = gateway(gateways=300, number=7)
         c.handle(1000, [FLEET])
         asks = [item(kind, serial=n, class_index=worthiest) for n in range(1, 16)]
         c.handle(1001, [GossipReceived(1, messages.encode(1, 1.0, asks, []))])
         granted[kind] = len(c.quota.stores[store_name(asks[0])].done)
-    assert granted[messages.Kind.AGAIN] <= 7 and granted[messages.Kind.ASK] >= 11
+    assert granted[messages.EntryKind.RETRY_REQUEST] <= 7 and granted[messages.EntryKind.REQUEST] >= 11
 
 
 def test_a_silent_home_is_asked_again_and_then_one_request_goes_on_credit():
@@ -360,8 +371,12 @@
     for now in range(1000, 1500, 4):
         actions = c.handle(now, [*events, TimerFired("agenda")])
         events, told, sent = [], told + of(SendGossip, actions), sent + of(SendAttempt, actions)
-    kinds = [told.kind for tell in told for told in messages.decode(tell.data).items]
-    assert len(sent) == 1 and kinds.count(messages.Kind.ASK) >= 6 and kinds.count(messages.Kind.SPENT) == 1
+    kinds = [told.kind for tell in told for told in messages.decode(tell.data).entries]
+    assert (
+        len(sent) == 1
+        and kinds.count(messages.EntryKind.REQUEST) >= 6
+        and kinds.count(messages.EntryKind.USED) == 1
+    )
 
 
 def test_a_customer_is_forgotten_only_when_its_quota_is_full_again_and_nothing_of_it_is_open():
@@ -430,16 +445,16 @@
     plans = (Plan("rated", 4, 12, overage_cost=0.5),)
     home, peer = (gateway(gateways=300, number=number, plans=plans) for number in (7, 1))
     home.handle(1000, [FLEET])
-    asks = [item(messages.Kind.ASK, serial=n) for n in range(1, 16)]
+    asks = [item(messages.EntryKind.REQUEST, serial=n) for n in range(1, 16)]
     told = of(SendGossip, home.handle(1001, [GossipReceived(1, messages.encode(1, 1.0, asks, []))]))
-    kinds = [one.kind for tell in told for one in messages.decode(tell.data).items]
-    assert messages.Kind.DENY in kinds and messages.Kind.GRANT in kinds
+    kinds = [one.kind for tell in told for one in messages.decode(tell.data).entries]
+    assert messages.EntryKind.DENY in kinds and messages.EntryKind.GRANT in kinds
     peer.handle(1000, [FLEET])
-    first = peer.settings.number + 6 - messages.tag_of("c") % 2
+    first = peer.settings.number + 6 - messages.customer_tag("c") % 2
     peer.handle(1001, [RequestArrived(1, "c", "look", "rated", 5000.0, 1.0, first, 2)])
     request = peer.requests[1]
     assert request.account.home == 7
-    deny = item(messages.Kind.DENY, serial=request.serial)
+    deny = item(messages.EntryKind.DENY, serial=request.serial)
     refused = of(Reject, peer.handle(1002, [GossipReceived(7, messages.encode(1, 1.0, [deny], []))]))
     assert [one.id for one in refused] == [1]
 
@@ -462,11 +477,13 @@
 def test_what_was_granted_and_not_used_goes_back():
     c = gateway(number=(home_of("c") + 1) % 3)
     tells = of(SendGossip, c.handle(1000, [EndpointUpdate(()), ask(1, units=4)]))
-    (asked,) = [told for tell in tells for told in messages.decode(tell.data).items]
-    data = messages.encode(1, 1.0, [asked._replace(kind=messages.Kind.GRANT)], [])
+    (asked,) = [told for tell in tells for told in messages.decode(tell.data).entries]
+    data = messages.encode(1, 1.0, [asked._replace(kind=messages.EntryKind.GRANT)], [])
     c.handle(1010, [GossipReceived(home_of("c"), data)])
     tells = of(SendGossip, c.handle(1200, [ClientDisconnected(1), TimerFired("agenda")]))
-    assert [told.kind for tell in tells for told in messages.decode(tell.data).items] == [messages.Kind.BACK]
+    assert [told.kind for tell in tells for told in messages.decode(tell.data).entries] == [
+        messages.EntryKind.RETURN
+    ]
 
 
 def test_cold_server_is_bounded_over_hundreds_of_gateways_even_after_a_stall():
@@ -519,14 +536,14 @@
 
 def test_what_no_message_has_room_for_is_left_out_of_it():
     """The 17th class raised for the whole turn, and all its sends were lost."""
-    item = messages.Item(messages.Kind.ASK, 7, 3, 1.0, 2.0, 1, 2)
-    seen = messages.sighting("s", 16, 1.0), messages.sighting("s", 15, 1.0)
+    item = messages.QuotaEntry(messages.EntryKind.REQUEST, 7, 3, 1.0, 2.0, 1, 2)
+    seen = messages.observe("s", 16, 1.0), messages.observe("s", 15, 1.0)
     news = messages.decode(
         messages.encode(
             1, 1.0, [item._replace(class_index=16), item, item._replace(plan_index=16)], list(seen)
         )
     )
-    assert news.items == (item,) and [one.class_index for one in news.sightings] == [15]
+    assert news.entries == (item,) and [one.class_index for one in news.observations] == [15]
     kinds = tuple(RequestClass(f"k{n}", 600, 1500, 2, Idempotency.IDEMPOTENT) for n in range(20))
     c = gateway(classes=kinds)
     c.handle(1000, [FLEET])
@@ -564,7 +581,7 @@
         assert all(len(tell.data) <= messages.MAX_BYTES for tell in of(SendGossip, actions))
         c.handle(now + 1, [outcome(send, AttemptResult.OK) for send in of(SendAttempt, actions)])
     assert max(told) > 255 and len(told) > 100 and len(sent) >= 6
-    news = messages.encode(7, 1.0, [], [messages.sighting(servers[1000].id, 0, math.inf)])
+    news = messages.encode(7, 1.0, [], [messages.observe(servers[1000].id, 0, math.inf)])
     c.handle(3410, [GossipReceived(MANY - 1, news), GossipReceived(MANY, news)])
     assert MANY - 1 in c.quota.heard_ms and MANY not in c.quota.heard_ms
     assert c.servers.known[servers[1000].id].bad
@@ -688,12 +705,14 @@
 def test_a_customer_that_repeats_without_end_leaves_room_in_its_homes_inbox():
     c = gateway(number=(home_of("c") + 1) % 3, gossip_inbox_per_s=20)
     c.handle(1000, [FLEET, ask(1)])
-    wait = messages.encode(1, 1.0, [item(messages.Kind.WAIT, asked=400.0)], [])
+    wait = messages.encode(1, 1.0, [item(messages.EntryKind.QUEUED, asked=400.0)], [])
     c.handle(1010, [GossipReceived(home_of("c"), wait)])
     asked = 0
     for n in range(400):
         for tell in of(SendGossip, c.handle(1012 + n, [ask(n + 2)])):
-            asked += sum(told.kind is messages.Kind.ASK for told in messages.decode(tell.data).items)
+            asked += sum(
+                told.kind is messages.EntryKind.REQUEST for told in messages.decode(tell.data).entries
+            )
     assert 0 < asked < 100
 
 
@@ -724,8 +743,8 @@
         c.handle(1000 + n, [ask(n, "seat", customer=own)])
     assert c.quota.rtt_ms == before
     tells = of(SendGossip, c.handle(1100, [ask(60)]))
-    (asked,) = [told for tell in tells for told in messages.decode(tell.data).items]
-    told = messages.encode(1, 1.0, [asked._replace(kind=messages.Kind.WAIT)], [])
+    (asked,) = [told for tell in tells for told in messages.decode(tell.data).entries]
+    told = messages.encode(1, 1.0, [asked._replace(kind=messages.EntryKind.QUEUED)], [])
     c.handle(1190, [GossipReceived(home_of("c"), told)])
     assert c.quota.rtt_ms > before
 
@@ -736,7 +755,7 @@
     told, now = [], 1000.0
     while now < 1100:
         for tell in of(SendGossip, actions):
-            told += [item.serial for item in messages.decode(tell.data).items]
+            told += [item.lease_id for item in messages.decode(tell.data).entries]
         now += min((wake.after_ms for wake in of(SetTimer, actions)), default=4.0)
         actions = c.handle(now, [TimerFired("agenda")])
     assert sorted(told) == [*range(1, 51)]
@@ -802,7 +821,7 @@
     they may be held was over, up to 2.2 s."""
     c = gateway(number=(home_of("c") + 1) % 3, gossip_inbox_per_s=20, plans=(Plan("rated", 4, 12),))
     c.handle(1000, [FLEET, ask(1)])
-    wait = messages.encode(1, 1.0, [item(messages.Kind.WAIT, asked=400.0)], [])
+    wait = messages.encode(1, 1.0, [item(messages.EntryKind.QUEUED, asked=400.0)], [])
     c.handle(1010, [GossipReceived(home_of("c"), wait)])
     refused = of(Reject, c.handle(1012, [ask(n) for n in range(2, 102)]))
     asked = [request.arrival.id for request in c.requests.values() if request.asks]
@@ -942,12 +961,12 @@
     by_tag: dict[int, str] = {}
     while not names:
         name = f"s{len(by_tag)}"
-        other = by_tag.setdefault(messages.server_tag(name), name)
+        other = by_tag.setdefault(messages.endpoint_tag(name), name)
         names = [other, name] if other != name else []
     controller = gateway()
     servers = [Endpoint(name, "z0", 0, EndpointState.READY) for name in (*names, "lone")]
     controller.handle(0.0, [EndpointUpdate(tuple(servers))])
-    seen = [messages.sighting(name, 0, float("inf")) for name in (names[0], "lone")]
+    seen = [messages.observe(name, 0, float("inf")) for name in (names[0], "lone")]
     controller.handle(4.0, [GossipReceived(1, messages.encode(5, 1.0, [], seen))])
     failing = [controller.servers.failing(4.0, controller.servers.known[one.id], "look") for one in servers]
     assert failing[:2] == [0.0, 0.0] and failing[2] > 0
