--- a/gateway/model/settings_reader.py
+++ b/gateway/model/settings_reader.py
@@ -44,7 +44,7 @@
         return value
 
     def text(self, key: str, fallback: str | None = None) -> str:
-        return self._get(key, (str,), fallback)
+        return str(self._get(key, (str,), fallback))
 
     def flag(self, key: str, fallback: bool | None = None) -> bool:
         return bool(self._get(key, (bool, int), fallback))
@@ -53,7 +53,7 @@
         return Table(self._get(key, (dict,), fallback), f"{self.path}.{key}")
 
     def items(self, key: str) -> list[Any]:
-        return self._get(key, (list,), None)
+        return list(self._get(key, (list,), None))
 
     def rows(self, key: str) -> list[Table]:
         return [Table(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(self.items(key))]
--- a/gateway/network/client_connection.py
+++ b/gateway/network/client_connection.py
@@ -4,17 +4,14 @@
 
 import asyncio
 import select
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import httptools
 
+from gateway.network.protocols import RequestHandler, ResponseSource
 from gateway.network.request_parser import BadRequest
 from gateway.network.upload import MAX_BUFFERED, Upload
 
-if TYPE_CHECKING:
-    from gateway.network.gateway import Gateway, Request
-    from gateway.network.upstream import UpstreamConnection
-
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
 RAW_SPARE, RAW_PART = MAX_HEAD + 8 * 64 * 1024, 8  # of a message as it comes: chunks of a byte each take six
 ANSWER_WAITS = 64 * 1024  # so much of an answer may wait for its client before no more of it is read
@@ -51,10 +48,10 @@
 class ClientConnection(asyncio.Protocol):
     """One connection of a client, which asks one thing at a time."""
 
-    def __init__(self, gateway: Gateway, moved: bool = False) -> None:
+    def __init__(self, gateway: RequestHandler, moved: bool = False) -> None:
         self.gateway, self.moved = gateway, moved  # moved: from the process before this one
         self.transport: asyncio.Transport | None = None
-        self.request: Request | None = None  # taken and not answered yet
+        self.request: Any = None  # taken and not answered yet
         self.parser: Any = httptools.HttpRequestParser(self)
         self.ending = False  # nothing more is read from it
         self.pipelined = False  # more came before the answer: pipelined
@@ -68,7 +65,7 @@
             False  # the request was answered before it was whole: the rest is read and dropped
         )
         self.chunked = False  # how the answer that is passed on is framed
-        self.response_source: UpstreamConnection | None = None  # where it comes from
+        self.response_source: ResponseSource | None = None  # where it comes from
         self._clear()
 
     def _clear(self) -> None:
@@ -333,7 +330,7 @@
     def _must_close(self) -> bool:
         return self.ending or self.pipelined or self.gateway.draining or not self.keep
 
-    def start_response(self, source: UpstreamConnection, length: int | None, content_type: bytes) -> None:
+    def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
         """The head of an answer too large to be held; what follows comes by `pass_on`."""
         self.response_source = source
         if self.transport is None or self.transport.is_closing():
--- a/gateway/network/connection_limiter.py
+++ b/gateway/network/connection_limiter.py
@@ -5,10 +5,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from gateway.network.client_connection import ClientConnection
+from gateway.network.protocols import LimitedConnection
 
 # Of the descriptors: all of clients; those and what has not gone yet; idle ones that may stay for long; and
 # what is a crowd of those that ask, as clients hold a third at most for requests.
@@ -28,10 +25,10 @@
 
     def __init__(self, sockets: int) -> None:
         self.limit(sockets)
-        self.all: set[ClientConnection] = set()
-        self._awaiting_request: dict[ClientConnection, float] = {}
-        self._idle: dict[ClientConnection, float] = {}
-        self._closing: dict[ClientConnection, float] = {}
+        self.all: set[LimitedConnection] = set()
+        self._awaiting_request: dict[LimitedConnection, float] = {}
+        self._idle: dict[LimitedConnection, float] = {}
+        self._closing: dict[LimitedConnection, float] = {}
 
     def limit(self, sockets: int) -> None:
         """Go by so many descriptors."""
@@ -41,14 +38,14 @@
     def __len__(self) -> int:
         return len(self.all)
 
-    def add_moved(self, client: ClientConnection, now: float) -> None:
+    def add_moved(self, client: LimitedConnection, now: float) -> None:
         """A connection that another process has served; its descriptor came along, so there is room."""
         self.most, self.hard = self.most + 1, self.hard + 1
         self.idle_kept, self.crowd = self.idle_kept + 1, self.crowd + 1
         self.all.add(client)
         self._idle[client] = now
 
-    def came(self, client: ClientConnection, now: float) -> bool:
+    def came(self, client: LimitedConnection, now: float) -> bool:
         """A new connection; False if there is no room at all."""
         if len(self.all) >= self.hard:
             return False
@@ -56,26 +53,26 @@
         self._awaiting_request[client] = now
         return True
 
-    def left(self, client: ClientConnection) -> None:
+    def left(self, client: LimitedConnection) -> None:
         self.all.discard(client)
         self._drop(client)
 
-    def _drop(self, client: ClientConnection) -> None:
+    def _drop(self, client: LimitedConnection) -> None:
         for table in (self._awaiting_request, self._idle, self._closing):
             table.pop(client, None)
 
-    def on_message_started(self, client: ClientConnection, now: float) -> None:
+    def on_message_started(self, client: LimitedConnection, now: float) -> None:
         """A request begins to come in. A new connection's time counts from when it came."""
         self._idle.pop(client, None)
         self._awaiting_request.setdefault(client, now)
 
-    def asked(self, client: ClientConnection) -> None:
+    def asked(self, client: LimitedConnection) -> None:
         self._awaiting_request.pop(client, None)
 
-    def answered(self, client: ClientConnection, now: float) -> None:
+    def answered(self, client: LimitedConnection, now: float) -> None:
         self._idle[client] = now
 
-    def leaves(self, client: ClientConnection, now: float) -> None:
+    def leaves(self, client: LimitedConnection, now: float) -> None:
         self._drop(client)
         self._closing[client] = now
 
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -46,6 +46,7 @@
 from gateway.network.connection_limiter import ADMITTED_PART, SWEEP_MS, ConnectionLimiter
 from gateway.network.gossip_socket import GossipSocket
 from gateway.network.metrics import FAULTED, FULFILLED, THROTTLED, Metrics
+from gateway.network.protocols import LimitedConnection
 from gateway.network.request_parser import BadRequest, RequestParser
 from gateway.network.upstream import UpstreamAttempt, UpstreamConnection, UpstreamPool
 
@@ -111,7 +112,7 @@
         self.controller = controller or Controller(config.settings, config.seed)
         self.metrics = Metrics(kind.name for kind in config.settings.classes)
         self.other: Callable[[int, bytes], None] | None = None  # tells the other process of this gatekeeper
-        self.move: Callable[[ClientConnection], None] | None = None  # hands a connection over to it
+        self.move: Callable[[LimitedConnection], None] | None = None  # hands a connection over to it
         self.upstreams = UpstreamPool(
             loop,
             self.clock,
@@ -449,7 +450,7 @@
     # -- another process of this gatekeeper
 
     def retire(
-        self, tell: Callable[[int, bytes], None], move: Callable[[ClientConnection], None]
+        self, tell: Callable[[int, bytes], None], move: Callable[[LimitedConnection], None]
     ) -> dict[str, Any]:
         """Leave it to the next process, with all that it has to know; what is open here stays."""
         self.ready, self.other, self.move = False, tell, move
--- a/gateway/network/hot_restart.py
+++ b/gateway/network/hot_restart.py
@@ -14,12 +14,14 @@
 import socket
 import struct
 from collections import deque
-from collections.abc import Callable, Iterator, Sequence
+from collections.abc import Callable, Coroutine, Iterator, Sequence
+from typing import Any
 
 from gateway.model.events import GossipReceived
 from gateway.network.client_connection import ClientConnection
 from gateway.network.gateway import Gateway
 from gateway.network.gossip_socket import bound
+from gateway.network.protocols import LimitedConnection
 
 ANSWER_S = 1.0  # for the whole answer of the process before; a mute one must not delay a start
 PART, PACKET, MOST_FDS = 32 * 1024, 64 * 1024, 4
@@ -99,7 +101,7 @@
     """The clients' listening socket of this process, and what it has to do with the processes beside it."""
 
     def __init__(self, gateway: Gateway) -> None:
-        self._keeper, self._config, self._loop = gateway, gateway.config, gateway.loop
+        self._gateway, self._config, self._loop = gateway, gateway.config, gateway.loop
         self._listener: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._door: socket.socket | None = None  # where the next process asks
@@ -156,11 +158,11 @@
         elif kind == b"C" and fds:
             self._spawn(
                 self._loop.connect_accepted_socket(
-                    lambda: ClientConnection(self._keeper, moved=True), socket.socket(fileno=fds.pop())
+                    lambda: ClientConnection(self._gateway, moved=True), socket.socket(fileno=fds.pop())
                 )
             )
         elif kind == b"H":
-            self._keeper.notice(GossipReceived(struct.unpack("<H", data[:2])[0], data[2:]))
+            self._gateway.notice(GossipReceived(struct.unpack("<H", data[:2])[0], data[2:]))
         for fd in fds:
             os.close(fd)
 
@@ -171,9 +173,9 @@
             socks = [socket.socket(fileno=fd) for fd in fds]
             fds.clear()
             free = max(LEAST_SOCKETS, self._config.sockets - state["held"])
-            self._keeper.take_over(state, self._before.tell, free)
+            self._gateway.take_over(state, self._before.tell, free)
             self._listener = socks[0]
-            self._keeper.gossip_socket.open(self._loop, socks[1] if len(socks) > 1 else None)
+            self._gateway.gossip_socket.open(self._loop, socks[1] if len(socks) > 1 else None)
         except Exception as problem:
             self._answer.set_exception(ValueError(problem))
             return
@@ -190,27 +192,27 @@
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(ConnectionError("it ended"))
         else:
-            self._keeper.on_predecessor_ended()
+            self._gateway.on_predecessor_ended()
 
     # -- either
 
-    def _spawn(self, work: object) -> None:
-        task = self._loop.create_task(work)  # type: ignore[arg-type]
+    def _spawn(self, work: Coroutine[Any, Any, object]) -> None:
+        task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _open(self) -> None:
         """Serve on sockets of our own."""
         self._listener = bound(socket.SOCK_STREAM, self._config.listen, self._config.shares_addresses)
-        if self._keeper.gossip_socket.socket is None:
-            self._keeper.gossip_socket.open(self._loop)
+        if self._gateway.gossip_socket.socket is None:
+            self._gateway.gossip_socket.open(self._loop)
         await self._serve()
 
     async def _serve(self) -> None:
         """Accept clients, and wait for the process that follows."""
         assert self._listener is not None
         self._server = await self._loop.create_server(
-            lambda: ClientConnection(self._keeper), sock=self._listener.dup(), backlog=BACKLOG
+            lambda: ClientConnection(self._gateway), sock=self._listener.dup(), backlog=BACKLOG
         )
         if self._config.private_folder:
             self._wait_for_next()
@@ -265,30 +267,30 @@
         link.heard = lambda data, fds: self._from_next(link, data)
 
     def _from_next(self, link: ProcessLink, data: bytes) -> None:
-        if data[:1] == b"T" and not self.left and self._keeper.ready:
+        if data[:1] == b"T" and not self.left and self._gateway.ready:
             self._hand_over(link)
         elif data[:1] == b"T":  # it ends, or has handed over already: the other one need not wait for that
             link.close()
         elif data[:1] == b"H" and link is self._next:
-            self._keeper.notice(GossipReceived(struct.unpack("<H", data[1:3])[0], data[3:]))
+            self._gateway.notice(GossipReceived(struct.unpack("<H", data[1:3])[0], data[3:]))
 
     def _hand_over(self, link: ProcessLink) -> None:
         """From here on the other one serves. What is open stays here until it is answered."""
         assert self._listener is not None
         self._next, link.ended = link, self._next_ended
-        state = self._keeper.retire(link.tell, lambda client: self._move(link, client))
+        state = self._gateway.retire(link.tell, lambda client: self._move(link, self._gateway, client))
         self._stop_accepting()
         state["held"] = len(os.listdir("/proc/self/fd"))
         text = json.dumps(state).encode()
         for start in range(0, len(text), PART):
             link.send(b"S" + text[start : start + PART])
-        socks = [sock for sock in (self._listener, self._keeper.gossip_socket.socket) if sock is not None]
+        socks = [sock for sock in (self._listener, self._gateway.gossip_socket.socket) if sock is not None]
         link.send(b"G", [os.dup(sock.fileno()) for sock in socks])
-        self._keeper.hand_over_idle()
+        self._gateway.hand_over_idle()
         log.info("another process of gatekeeper %s serves now", self._config.name)
 
     @staticmethod
-    def _move(link: ProcessLink, client: ClientConnection) -> None:
+    def _move(link: ProcessLink, gateway: Gateway, client: LimitedConnection) -> None:
         """The other process goes on with the connection. Nothing of it has been read here, and nothing more
         will be: what the client sends meanwhile waits in the system for the other one."""
         transport = client.transport
@@ -296,16 +298,16 @@
         transport.pause_reading()
         link.send(b"C", [os.dup(transport.get_extra_info("socket").fileno())])
         client.drop()
-        client.gateway.connections.left(client)
+        gateway.connections.left(client)
 
     def _next_ended(self) -> None:
         """The process that follows has gone. Unless this one is to end as well, it serves again."""
         self._next = None
-        if self._keeper.ending:
-            self._keeper.move = self._keeper.other = None
+        if self._gateway.ending:
+            self._gateway.move = self._gateway.other = None
             return
         log.warning("the process that was to follow has ended: gatekeeper %s serves on", self._config.name)
-        self._keeper.resume_service()
+        self._gateway.resume_service()
         self._spawn(self._serve())
 
     async def close(self) -> None:
@@ -320,7 +322,7 @@
             except OSError:  # the queue is empty
                 break
             sock.setblocking(False)
-            await self._loop.connect_accepted_socket(lambda: ClientConnection(self._keeper), sock)
+            await self._loop.connect_accepted_socket(lambda: ClientConnection(self._gateway), sock)
         self._listener.close()
         self._listener = None
 
--- a/gateway/network/upload.py
+++ b/gateway/network/upload.py
@@ -2,11 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from gateway.network.client_connection import ClientConnection
-    from gateway.network.upstream import UpstreamConnection
+from gateway.network.protocols import BodySink, BodySource
 
 MAX_BUFFERED = (
     256 * 1024
@@ -16,10 +12,10 @@
 class Upload:
     """The body of a request that is passed on as it comes."""
 
-    def __init__(self, client: ClientConnection, length: int | None, first: bytes) -> None:
+    def __init__(self, client: BodySource, length: int | None, first: bytes) -> None:
         self._client, self._chunked = client, length is None
         self._parts, self._size = [first] if first else [], len(first)
-        self._sink: UpstreamConnection | None = None  # the one that has had the first byte
+        self._sink: BodySink | None = None  # the one that has had the first byte
         self.whole = False  # its last byte has come
         self.framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
 
@@ -47,7 +43,7 @@
         if self._sink is not None:
             self._sink.write_last(b"0\r\n\r\n" if self._chunked else b"")
 
-    def attach(self, sink: UpstreamConnection, head: bytes) -> None:
+    def attach(self, sink: BodySink, head: bytes) -> None:
         """The worker's connection is up: what is here goes out on it, and the rest follows."""
         text = head + b"".join(map(self._framed, self._parts))
         self._parts.clear()
--- a/gateway/network/upstream.py
+++ b/gateway/network/upstream.py
@@ -10,7 +10,7 @@
 import os
 import select
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import httptools
 
@@ -18,6 +18,7 @@
 from gateway.model.events import AttemptResult, EndpointState
 from gateway.network.clock import Clock, Timer, Timers
 from gateway.network.metrics import Metrics
+from gateway.network.protocols import ResponseSink
 from gateway.network.upload import Upload
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
@@ -37,13 +38,10 @@
 MOST_LOAD = 1e6  # a field of a load report beyond that, or below nothing, is no report
 WHOLE_WRITE = 8 * 1024  # a request up to this size fits the empty buffer of any socket
 
-if TYPE_CHECKING:
-    from gateway.network.client_connection import ClientConnection
-
 log = logging.getLogger(__name__)
 
 Done = Callable[["UpstreamAttempt", AttemptResult, bytes, bytes, tuple[float, ...]], None]
-Begin = Callable[["UpstreamAttempt", "UpstreamConnection", int | None, bytes], "ClientConnection | None"]
+Begin = Callable[["UpstreamAttempt", "UpstreamConnection", int | None, bytes], ResponseSink | None]
 
 
 class UpstreamAttempt:
@@ -145,7 +143,7 @@
         self.content_type = self.load = b""
         self.is_not_executed = self.keep = self.ends_with_connection = self.chunked = False
         self.length: int | None = None
-        self.client: ClientConnection | None = None  # to whom the answer is passed on
+        self.client: ResponseSink | None = None  # to whom the answer is passed on
 
     # -- the transport's callbacks
 
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -293,7 +293,7 @@
         return False
 
     def _fleet(self, mode: str, _rev: int, count: int) -> EndpointUpdate:
-        servers = []
+        servers: list[Endpoint] = []
         while len(servers) < count:
             line = next(self._source, None)
             name, *parts = (line or "").rstrip("\n").split("\t")
