--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -400,8 +400,8 @@
 async def heads_at_worker(sent):
     """The bytes that a worker gets for each of these requests, up to the end of the head.
 
-    Each is sent in two parts, the second when the head of the first is there: whether a large body is whole when
-    it is sent on would else be a matter of chance, and X-Deadline-Ms with it.
+    Each is sent in two parts, the second when the head of the first is there: whether a large body is whole
+    when it is sent on would else be a matter of chance, and X-Deadline-Ms with it.
     """
     heads = asyncio.Queue()
 
