--- a/gateway/config.py
+++ b/gateway/config.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from gateway.errors import SettingsError
+from gateway.errors import ConfigError, SettingsError
 from gateway.model.events import Endpoint, EndpointState
 from gateway.model.settings import Settings
 from gateway.model.settings_reader import Table, settings_from
@@ -17,10 +17,6 @@
 STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 
 
-class ConfigError(Exception):
-    """A configuration that cannot be used; the text names what is wrong."""
-
-
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
     """One worker in discovery's list: what the module learns of it, and where it listens."""
--- a/gateway/errors.py
+++ b/gateway/errors.py
@@ -14,3 +14,7 @@
         """`path` leads to the setting, as in `config.settings.classes[0].aimMs`."""
         super().__init__(f"{path}: {problem}")
         self.path = path
+
+
+class ConfigError(GatewayError):
+    """A configuration that can't be used; the text names what is wrong."""
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -123,7 +123,7 @@
             max_connections=int(shareable_descriptors(config.sockets) * UPSTREAM_PART),
             report_fields=config.settings.report_fields,
         )
-        self.gossip_socket = GossipSocket(config, self.heard)
+        self.gossip_socket = GossipSocket(config, self.on_gossip)
         self.connections = ConnectionLimiter(shareable_descriptors(config.sockets))
         self.request_parser = RequestParser(config.settings)
         self.open: dict[int, Request] = {}
@@ -150,7 +150,7 @@
 
     # -- events
 
-    def notice(self, event: Event) -> None:
+    def enqueue(self, event: Event) -> None:
         """Keep an event for the module's next turn, at the end of this turn of the loop."""
         if not self._events:
             self.loop.call_soon(self._turn)
@@ -171,16 +171,16 @@
         for action in actions:
             send_attempt[type(action)](action)
 
-    def listed(self, news: EndpointList) -> None:
+    def on_endpoint_list(self, news: EndpointList) -> None:
         """Discovery has told something."""
         displaced = self.upstreams.update(news)
         servers = [entry.server for entry in news.entries]
         servers += [replace(entry.server, state=EndpointState.REMOVED) for entry in displaced]
-        self.notice(EndpointUpdate(tuple(servers), news.is_snapshot))
+        self.enqueue(EndpointUpdate(tuple(servers), news.is_snapshot))
 
-    def heard(self, sender: int, data: bytes) -> None:
+    def on_gossip(self, sender: int, data: bytes) -> None:
         """A peer has told something, be it to this process or to the one before."""
-        self.notice(GossipReceived(sender, data))
+        self.enqueue(GossipReceived(sender, data))
         if self.other is not None and self.move is None:
             self.other(sender, data)
 
@@ -223,7 +223,7 @@
         """Nobody waits for a request any more: what of it still comes, or is passed on, breaks off."""
         if not self._close(request):
             return
-        self.notice(ClientDisconnected(request.id))
+        self.enqueue(ClientDisconnected(request.id))
         for attempt in self._out(request):
             if attempt.number == request.passing:
                 attempt.end(AttemptResult.CANCELLED)
@@ -263,7 +263,7 @@
         if upload is None:
             request.guard = self.timers.at(due_ms - GUARD_MS, lambda: self._overdue(request))
             self.connections.asked(client)
-        self.notice(
+        self.enqueue(
             RequestArrived(
                 request.id,
                 form.customer,
@@ -284,7 +284,7 @@
 
     def parted(self, request: Request) -> None:
         """A part of a request's body is no longer here."""
-        self.notice(BodyReleased(request.id))
+        self.enqueue(BodyReleased(request.id))
 
     def whole(self, request: Request) -> None:
         """The last byte of a large request has come: from now on its client waits."""
@@ -294,7 +294,7 @@
         for attempt in self._out(request):
             attempt.started_ms = now
             self.upstreams.allow(attempt, due_ms - MARGIN_MS - now)
-        self.notice(RequestCompleted(request.id, due_ms - MARGIN_MS))
+        self.enqueue(RequestCompleted(request.id, due_ms - MARGIN_MS))
 
     def _close(self, request: Request) -> bool:
         """Take a request off the table; False if it has had its final answer before.
@@ -331,7 +331,7 @@
     def _overdue(self, request: Request) -> None:
         """The last guard: the module has not answered, and the client is about to give up."""
         if self._finish(request, FAULTED, 504):
-            self.notice(ClientDisconnected(request.id))
+            self.enqueue(ClientDisconnected(request.id))
 
     # -- actions
 
@@ -343,7 +343,7 @@
             request.client.drop()
             request = None
         if request is None:  # the module can't know it: it ended in between
-            self.notice(AttemptEnded(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True))
+            self.enqueue(AttemptEnded(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True))
             return
         request.sends = number + 1
         upload = request.upload
@@ -367,7 +367,7 @@
             if alarm is not None:
                 alarm.cancel()
         request.client.start_response(source, length, content_type)
-        self.notice(ResponseStarted(request.id, attempt.number, attempt.worker))
+        self.enqueue(ResponseStarted(request.id, attempt.number, attempt.worker))
         return request.client
 
     def _end_passing(self, request: Request, whole: bool) -> None:
@@ -396,7 +396,7 @@
         elif request is not None and request.passing is None and result is AttemptResult.OK:
             final = self._finish(request, FULFILLED, 200, body, content_type)
         ended_ms = attempt.answered_ms or self.clock.now()  # of a large answer the first bytes count
-        self.notice(
+        self.enqueue(
             AttemptEnded(
                 attempt.request_id,
                 attempt.number,
@@ -427,7 +427,7 @@
         woken = TimerFired(action.name)
         # On the grid of the module's ticks, so that what is due within one tick takes one turn.
         due_ms, tick_ms = self.clock.now() + action.after_ms, max(1.0, self.settings.tick_ms)
-        self.timers.at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self.notice(woken))
+        self.timers.at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self.enqueue(woken))
 
     def _tell(self, action: SendGossip) -> None:
         if action.receiver != self.settings.number:
@@ -502,7 +502,7 @@
         self.timers.at(self.clock.now() + REMEMBER_MS, self._forget_names)
         self._ended_names = (set(), self._ended_names[0])
 
-    def leave(self, within_ms: float) -> None:
+    def begin_shutdown(self, within_ms: float) -> None:
         """A planned end: what comes is served as before, but nothing is promised beyond that time."""
         self.ready, self.ending, self._end_ms = False, True, self.clock.now() + within_ms
 
@@ -515,13 +515,13 @@
         for client in list(self.connections.all):
             client.close_if_idle()
 
-    def holds(self) -> bool:
+    def has_open_work(self) -> bool:
         """Whether a request is open here, or a connection of a client."""
         return bool(self.open or self.connections)
 
-    def busy(self) -> bool:
+    def finishes(self) -> bool:
         """Whether anything taken is not answered, or not yet written out; new idle connections close, or
         are handed over."""
         self.hand_over_idle()
         self.close_idle()
-        return self.holds()
+        return self.has_open_work()
--- a/gateway/network/hot_restart.py
+++ b/gateway/network/hot_restart.py
@@ -112,7 +112,7 @@
         self._tasks: set[asyncio.Task[object]] = set()
 
     @property
-    def left(self) -> bool:
+    def is_retired(self) -> bool:
         """Whether another process serves now."""
         return self._next is not None
 
@@ -162,7 +162,7 @@
                 )
             )
         elif kind == b"H":
-            self._gateway.notice(GossipReceived(struct.unpack("<H", data[:2])[0], data[2:]))
+            self._gateway.enqueue(GossipReceived(struct.unpack("<H", data[:2])[0], data[2:]))
         for fd in fds:
             os.close(fd)
 
@@ -267,12 +267,12 @@
         link.heard = lambda data, fds: self._from_next(link, data)
 
     def _from_next(self, link: ProcessLink, data: bytes) -> None:
-        if data[:1] == b"T" and not self.left and self._gateway.ready:
+        if data[:1] == b"T" and not self.is_retired and self._gateway.ready:
             self._hand_over(link)
         elif data[:1] == b"T":  # it ends, or has handed over already: the other one need not wait for that
             link.close()
         elif data[:1] == b"H" and link is self._next:
-            self._gateway.notice(GossipReceived(struct.unpack("<H", data[1:3])[0], data[3:]))
+            self._gateway.enqueue(GossipReceived(struct.unpack("<H", data[1:3])[0], data[3:]))
 
     def _hand_over(self, link: ProcessLink) -> None:
         """From here on the other one serves. What is open stays here until it is answered."""
@@ -287,7 +287,7 @@
         socks = [sock for sock in (self._listener, self._gateway.gossip_socket.socket) if sock is not None]
         link.send(b"G", [os.dup(sock.fileno()) for sock in socks])
         self._gateway.hand_over_idle()
-        log.info("another process of gatekeeper %s serves now", self._config.name)
+        log.info("another process of gateway %s serves now", self._config.name)
 
     @staticmethod
     def _move(link: ProcessLink, gateway: Gateway, client: LimitedConnection) -> None:
@@ -306,7 +306,7 @@
         if self._gateway.ending:
             self._gateway.move = self._gateway.other = None
             return
-        log.warning("the process that was to follow has ended: gatekeeper %s serves on", self._config.name)
+        log.warning("the process that was to follow has ended: gateway %s serves on", self._config.name)
         self._gateway.resume_service()
         self._spawn(self._serve())
 
@@ -316,7 +316,9 @@
         self._stop_accepting()
         if self._listener is None:
             return
-        for _ in range(0 if self.left else BACKLOG):  # the queue holds no more; a crowd may come without end
+        for _ in range(
+            0 if self.is_retired else BACKLOG
+        ):  # the queue holds no more; a crowd may come without end
             try:
                 sock, _ = self._listener.accept()
             except OSError:  # the queue is empty
@@ -326,7 +328,7 @@
         self._listener.close()
         self._listener = None
 
-    def close_idle_connections(self) -> None:
+    def close_links(self) -> None:
         """The end of this process."""
         for link in (self._before, self._next):
             if link is not None:
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -1,4 +1,4 @@
-"""Start, signals and exit of one gatekeeper: `python -m gateway`."""
+"""The life of one process: start, ready, reload, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -7,126 +7,152 @@
 import logging
 import os
 import signal
-import sys
 from dataclasses import replace
 
-import uvloop
-
-from gateway.config import Config, ConfigError, load
-from gateway.log_handler import NonBlockingHandler
+from gateway.config import Config, load
+from gateway.errors import ConfigError
 from gateway.network.admin import AdminEndpoint
 from gateway.network.discovery import Discovery
 from gateway.network.gateway import Gateway
 from gateway.network.hot_restart import HotRestart
 
-FIRST_LIST_S = 0.5  # how long the first whole list is waited for; after that the known one has to do
+FIRST_SNAPSHOT_S = 0.5  # how long the first snapshot is waited for; after that the known list has to do
 # After SIGTERM connections go on coming for up to 0.4 s, and clients go on using those that they have; peers
-# find their customers' home here. All this is served until it is time to finish: the longest deadline, of 3 s
-# at most, and 0.7 s more are sure before SIGKILL.
-SURE_MOST_S, SURE_MORE_S, SPARE_S = 3.0, 0.7, 0.5
-LAST_S, LEAST_S = 1.0, 0.6  # so long before the end no connection is kept any more; but not sooner than this
-TO_FINISH_S = 600.0  # each request has its guard, so none waits longer
-STEP_S = 0.02
+# find their customers' quota leader here. All this is served until it is time to finish: the longest deadline, of
+# 3 s at most, and 0.7 s more are sure before SIGKILL.
+MAX_SURE_DEADLINE_S = 3.0
+SURE_BEYOND_DEADLINE_S = 0.7
+SPARE_S = 0.5
+CLOSING_S = 1.0  # so long before the end no connection is kept open any more,
+MIN_SERVICE_S = 0.6  # but not sooner than this
+FINISH_S = 600.0  # each request has its guard, so none waits longer
+POLL_S = 0.02
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 log = logging.getLogger("gateway")
 
 
-async def reload(config: Config, discovery: Discovery, asked: asyncio.Event) -> None:
-    """Read the configuration anew whenever that is asked for. What can change in service is discovery's
-    address; a file that cannot be used changes nothing."""
-    while True:
-        await asked.wait()
-        asked.clear()  # before the file is read: should it change meanwhile, it is read once more
+async def serve(config: Config) -> None:
+    """Run one gateway until SIGTERM or SIGINT, then finish what it has taken.
+
+    Raises OSError where an address can't be used.
+    """
+    process = GatewayProcess(config, asyncio.get_running_loop())
+    process.handle_signals()
+    await process.start()
+    await process.until_told_to_stop()
+    await process.shut_down()
+
+
+class GatewayProcess:
+    """One process of a gateway, and the order in which its parts start and end."""
+
+    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
+        """Make the parts; nothing is opened yet."""
+        settings = config.settings
+        self._config = config
+        self._loop = loop
+        self._stop_requested = asyncio.Event()
+        self._reload_requested = asyncio.Event()
+        self._gateway = Gateway(config, loop)
+        self._admin = AdminEndpoint(self._gateway)
+        self._hot_restart = HotRestart(self._gateway)
+        self._discovery = Discovery(
+            config.discovery,
+            self._gateway.on_endpoint_list,
+            config.known.index if config.known.entries else None,
+            fleet=settings.gateways,
+            seed=config.seed,
+            pushed=not settings.must_subscribe,
+            grace_s=settings.drain_grace_ms / 1000,
+        )
+        self._tasks: list[asyncio.Task[None]] = []
+
+    def handle_signals(self) -> None:
+        """Shut down on SIGTERM and SIGINT, reload on SIGHUP."""
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(number, self._stop_requested.set)
+        self._loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
+
+    async def start(self) -> None:
+        """Open all sockets, wait a little for the first snapshot, and follow a process that serves."""
+        self._gateway.on_endpoint_list(self._config.known)
+        await self._admin.open(self._config.control)
+        await self._hot_restart.find()
+        self._tasks = [
+            self._loop.create_task(self._discovery.run()),
+            self._loop.create_task(self._reload_on_request()),
+        ]
         try:
-            news = await asyncio.to_thread(load, os.environ)
-        except ConfigError as problem:
-            log.error("the configuration stays as it was: %s", problem)
-            continue
-        log.info("the configuration was read anew: discovery at %s:%d", *news.discovery)
-        if replace(news, discovery=config.discovery, seed=config.seed, known=config.known) != config:
-            log.warning("what else has changed in the configuration takes effect at the next start")
-        discovery.move(news.discovery)
+            await asyncio.wait_for(self._discovery.listed.wait(), FIRST_SNAPSHOT_S)
+        except TimeoutError:
+            log.warning("discovery is silent; starting with the known list")
+        gc.collect()
+        gc.freeze()  # what the start made stays: it need not be looked through again
+        await self._hot_restart.take_over()
+        self._gateway.ready = True
+        log.info("gateway %s is up", self._config.name)
 
+    async def until_told_to_stop(self) -> None:
+        """Wait for SIGTERM or SIGINT."""
+        await self._stop_requested.wait()
 
-async def serve(config: Config) -> None:
-    """Run one gatekeeper until SIGTERM, then finish what it has taken."""
-    loop = asyncio.get_running_loop()
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    reload_asked = asyncio.Event()
-    loop.add_signal_handler(signal.SIGHUP, reload_asked.set)
-    gateway = Gateway(config, loop)
-    gateway.listed(config.known)
-    door = AdminEndpoint(gateway)
-    await door.open(config.control)
-    handover = HotRestart(gateway)
-    await handover.find()
-    known = config.known.index if config.known.entries else None
-    settings = config.settings
-    discovery = Discovery(
-        config.discovery,
-        gateway.listed,
-        known,
-        fleet=settings.gateways,
-        seed=config.seed,
-        pushed=not settings.must_subscribe,
-        grace_s=settings.drain_grace_ms / 1000,
-    )
-    tasks = [loop.create_task(discovery.run()), loop.create_task(reload(config, discovery, reload_asked))]
-    try:
-        await asyncio.wait_for(discovery.listed.wait(), FIRST_LIST_S)
-    except TimeoutError:
-        log.warning("discovery is silent; starting with the known list")
-    gc.collect()
-    gc.freeze()  # what the start made stays: it need not be looked through again
-    await handover.take_over()
-    gateway.ready = True
-    log.info("gatekeeper %s is up", config.name)
-
-    await stop.wait()
-    longest_s = max(kind.deadline_ms for kind in settings.classes) / 1000
-    end_s = min(longest_s, SURE_MOST_S) + SURE_MORE_S - SPARE_S
-    gateway.leave(end_s * 1000)
-    last = loop.time() + max(LEAST_S, end_s - LAST_S)
-    while loop.time() < last and (gateway.holds() or not handover.left):
-        await asyncio.sleep(STEP_S)
-    await handover.close()
-    gateway.drain()
-    gateway.close_idle()
-    end = loop.time() + TO_FINISH_S
-    while gateway.busy() and loop.time() < end:
-        await asyncio.sleep(STEP_S)
-    for task in tasks:
-        task.cancel()
-    await asyncio.gather(*tasks, return_exceptions=True)
-    gateway.gossip_socket.close()
-    handover.close_idle_connections()
-    door.close()
-    # The loop takes its handlers away when it closes, and what then comes would end the process by its
-    # signal. With the thread that reads configurations gone, this mask is the whole process's.
-    await loop.shutdown_default_executor()
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    log.info("gatekeeper %s has finished", config.name)
-
-
-def main() -> int:
-    """The exit code."""
-    # No handler at all where standard error is closed: its number may be that of a client's socket by now.
-    handler = logging.NullHandler() if sys.stderr is None else NonBlockingHandler(sys.stderr.fileno())
-    logging.basicConfig(
-        handlers=[handler], level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
-    )
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is handled: what it asks for comes anyway
-    try:
-        config = load(os.environ)
-    except ConfigError as problem:
-        print(f"gateway: {problem}", file=sys.stderr)
-        return 2
-    try:
-        uvloop.run(serve(config))
-    except OSError as problem:
-        print(f"gateway: {problem}", file=sys.stderr)
-        return 1
-    return 0
+    async def shut_down(self) -> None:
+        """Serve what still comes, then finish what is open, and close all."""
+        await self._serve_until_closing()
+        await self._finish_open_requests()
+        await self._stop_tasks()
+        self._gateway.gossip_socket.close()
+        self._hot_restart.close_links()
+        self._admin.close()
+        # The loop takes its handlers away when it closes, and a signal that comes then would end the process.
+        # With the thread that reads configurations gone, this mask is the whole process's.
+        await self._loop.shutdown_default_executor()
+        signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+        log.info("gateway %s has finished", self._config.name)
+
+    async def _serve_until_closing(self) -> None:
+        classes = self._config.settings.classes
+        longest_s = max(known.deadline_ms for known in classes) / 1000
+        end_s = min(longest_s, MAX_SURE_DEADLINE_S) + SURE_BEYOND_DEADLINE_S - SPARE_S
+        self._gateway.begin_shutdown(end_s * 1000)
+        closing_at = self._loop.time() + max(MIN_SERVICE_S, end_s - CLOSING_S)
+        while self._loop.time() < closing_at and (
+            self._gateway.has_open_work() or not self._hot_restart.is_retired
+        ):
+            await asyncio.sleep(POLL_S)
+
+    async def _finish_open_requests(self) -> None:
+        await self._hot_restart.close()
+        self._gateway.drain()
+        self._gateway.close_idle()
+        end_at = self._loop.time() + FINISH_S
+        while self._gateway.finishes() and self._loop.time() < end_at:
+            await asyncio.sleep(POLL_S)
+
+    async def _stop_tasks(self) -> None:
+        for task in self._tasks:
+            task.cancel()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+
+    async def _reload_on_request(self) -> None:
+        """Read the configuration anew whenever that is asked for.
+
+        What can change in service is discovery's address; a file that can't be used changes nothing.
+        """
+        while True:
+            await self._reload_requested.wait()
+            self._reload_requested.clear()  # before the file is read: a later change is read once more
+            try:
+                config = await asyncio.to_thread(load, os.environ)
+            except ConfigError as error:
+                log.error("the configuration stays as it was: %s", error)
+                continue
+            log.info("the configuration was read anew: discovery at %s:%d", *config.discovery)
+            if self._differs_beyond_discovery(config):
+                log.warning("what else has changed in the configuration takes effect at the next start")
+            self._discovery.move(config.discovery)
+
+    def _differs_beyond_discovery(self, config: Config) -> bool:
+        own = self._config
+        return replace(config, discovery=own.discovery, seed=own.seed, known=own.known) != own
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -128,7 +128,7 @@
     def __init__(self, script=None, **more):
         self.script = script
         self.gateway = Gateway(config_from(config(**more), {}), asyncio.get_running_loop(), script)
-        self.gateway.listed(self.gateway.config.known)
+        self.gateway.on_endpoint_list(self.gateway.config.known)
         self.server = None
 
     async def __aenter__(self):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -295,7 +295,7 @@
         await gate.script.event(BodyReleased)
         await worker.asked()
         gate.script.to_do = [SendAttempt(came.id, "w1", 9000.0)]
-        gate.gateway.notice(TimerFired("hedge"))
+        gate.gateway.enqueue(TimerFired("hedge"))
         done = await gate.script.event(AttemptEnded)
         assert (done.attempt, done.result) == (1, AttemptResult.NOT_SENT) and worker.calls.empty()
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -595,7 +595,7 @@
         async with Gate(script) as gate:
             script.to_do = [SetTimer(wake, "agenda")]
             began_ms = gate.gateway.clock.now()
-            gate.gateway.notice(TimerFired("begin"))
+            gate.gateway.enqueue(TimerFired("begin"))
             while not [event for event in script.events if event == TimerFired("agenda")]:
                 await asyncio.sleep(0.001)
             assert gate.gateway.clock.now() - began_ms >= wake
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -233,7 +233,7 @@
         _, writer = await worker.asked()
         came = await gate.script.event(RequestArrived)
         gate.script.to_do = [Reject(came.id, 250.0), CancelAttempt(came.id, 0)]
-        gate.gateway.notice(TimerFired("now"))
+        gate.gateway.enqueue(TimerFired("now"))
         status, headers, _ = await client.answer()
         assert status == 503 and headers["retry-after"] == "0.250"
         assert (await gate.script.event(AttemptEnded)).result is AttemptResult.CANCELLED
@@ -253,7 +253,7 @@
         _, first = await worker.asked()
         came = await gate.script.event(RequestArrived)
         gate.script.to_do = [SendAttempt(came.id, "w1", 9000.0)]
-        gate.gateway.notice(TimerFired("hedge"))
+        gate.gateway.enqueue(TimerFired("hedge"))
         _, second = await worker.asked()
         second.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
@@ -271,7 +271,7 @@
 def test_a_send_for_a_request_that_has_ended_is_moot():
     async def scenario(worker, gate, client):
         gate.script.to_do = [SendAttempt(77, "w1", 100.0)]
-        gate.gateway.notice(TimerFired("late"))
+        gate.gateway.enqueue(TimerFired("late"))
         assert (
             await gate.script.event(AttemptEnded)
         ).result is AttemptResult.NOT_SENT and worker.connections == 0
@@ -301,7 +301,7 @@
         async with asyncio.timeout(5):
             assert (await gate.script.event(ClientDisconnected)).id == came.id
         gate.script.to_do = [SendAttempt(came.id, "w1", 9000.0)]
-        gate.gateway.notice(TimerFired("its turn"))
+        gate.gateway.enqueue(TimerFired("its turn"))
         assert (
             await gate.script.event(AttemptEnded)
         ).result is AttemptResult.NOT_SENT and worker.connections == 0
@@ -516,7 +516,7 @@
         await exchange(worker, client)
         await gate.script.event(EndpointUpdate)
         news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
-        gate.gateway.listed(endpoint_list_from(news, "list"))
+        gate.gateway.on_endpoint_list(endpoint_list_from(news, "list"))
         fleet = await gate.script.event(EndpointUpdate)
         assert [(one.id, one.state) for one in fleet.endpoints] == [
             ("w2", EndpointState.READY),
@@ -577,7 +577,7 @@
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
-        gate.gateway.listed(endpoint_list_from(news, "list"))
+        gate.gateway.on_endpoint_list(endpoint_list_from(news, "list"))
         assert (await worker.asked())[0] is None
 
     one_worker(scenario)
@@ -586,7 +586,7 @@
 def test_a_worker_absent_from_a_whole_list_gets_nothing_more():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        gate.gateway.listed(endpoint_list_from(listing(index=2), "list"))
+        gate.gateway.on_endpoint_list(endpoint_list_from(listing(index=2), "list"))
         assert (await worker.asked())[0] is None
         assert (await client.send(request()).answer())[0] == 502
         fleets = [await gate.script.event(EndpointUpdate) for _ in range(2)]
@@ -628,7 +628,7 @@
             _, first = await worker.asked()
             opened, go = hold_dials(gate)
             gate.script.to_do = [SendAttempt((await gate.script.event(RequestArrived)).id, "w1", 9000.0)]
-            gate.gateway.notice(TimerFired("hedge"))
+            gate.gateway.enqueue(TimerFired("hedge"))
         else:
             opened, go = hold_dials(gate)
             client.send(request(deadline=deadline))
@@ -657,7 +657,7 @@
         client.send(request())
         await opened.wait()
         news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-        gate.gateway.listed(endpoint_list_from(news, "list"))
+        gate.gateway.on_endpoint_list(endpoint_list_from(news, "list"))
         go.set()
         assert (await client.answer())[0] == 502
         assert (await gate.script.event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
@@ -1065,7 +1065,7 @@
                 port = probe.getsockname()[1]
             platform = config_from(config(listen_port=port, known=[entry("w1", worker.port)]), {})
             gateway = Gateway(platform, asyncio.get_running_loop(), Script())
-            gateway.listed(platform.known)
+            gateway.on_endpoint_list(platform.known)
             handover = HotRestart(gateway)
             await handover.find()
             with socket.create_connection((HOST, port), 5) as sock:
@@ -1078,7 +1078,7 @@
                 assert (await asyncio.to_thread(sock.recv, 99)).startswith(b"HTTP/1.1 200")
                 with pytest.raises(ConnectionRefusedError):
                     socket.create_connection((HOST, port), 5)
-                while gateway.busy():
+                while gateway.finishes():
                     await asyncio.sleep(0)
 
     run(whole())
@@ -1169,7 +1169,7 @@
 
 def test_what_comes_before_a_planned_end_is_answered_by_then():
     async def scenario(worker, gate, client):
-        gate.gateway.leave(150.0)
+        gate.gateway.begin_shutdown(150.0)
         began = gate.gateway.clock.now()
         client.send(request(deadline=10_000))
         came = await gate.script.event(RequestArrived)
