--- a/gateway/network/discovery.py
+++ b/gateway/network/discovery.py
@@ -227,21 +227,21 @@
             news = replace(
                 news,
                 entries=tuple(
-                    replace(entry, server=replace(entry.server, state=EndpointState.DRAINING))
-                    if entry.server.state is EndpointState.READY
-                    and entry.server.id in self._left
-                    and self._left[entry.server.id][0] == entry.server.started_ms
+                    replace(entry, endpoint=replace(entry.endpoint, state=EndpointState.DRAINING))
+                    if entry.endpoint.state is EndpointState.READY
+                    and entry.endpoint.id in self._left
+                    and self._left[entry.endpoint.id][0] == entry.endpoint.started_ms
                     else entry
                     for entry in news.entries
                 ),
             )
         elif news.is_snapshot:
             self._newest = news.index
-            for name in self._ready.keys() - {entry.server.id for entry in news.entries}:
+            for name in self._ready.keys() - {entry.endpoint.id for entry in news.entries}:
                 self._left[name] = self._ready.pop(name), now
         else:
             self._newest = max(self._newest, news.index)
-        for server in [entry.server for entry in news.entries]:
+        for server in [entry.endpoint for entry in news.entries]:
             if server.state is EndpointState.READY:
                 self._ready[server.id] = server.started_ms
                 self._left.pop(server.id, None)
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -174,8 +174,8 @@
     def on_endpoint_list(self, news: EndpointList) -> None:
         """Discovery has told something."""
         displaced = self.upstreams.update(news)
-        servers = [entry.server for entry in news.entries]
-        servers += [replace(entry.server, state=EndpointState.REMOVED) for entry in displaced]
+        servers = [entry.endpoint for entry in news.entries]
+        servers += [replace(entry.endpoint, state=EndpointState.REMOVED) for entry in displaced]
         self.enqueue(EndpointUpdate(tuple(servers), news.is_snapshot))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
--- a/gateway/network/upstream.py
+++ b/gateway/network/upstream.py
@@ -390,7 +390,10 @@
         self.connecting: list[UpstreamAttempt] = []
 
     def is_same_process(self, entry: EndpointEntry) -> bool:
-        return self.entry.address == entry.address and self.entry.server.started_ms == entry.server.started_ms
+        return (
+            self.entry.address == entry.address
+            and self.entry.endpoint.started_ms == entry.endpoint.started_ms
+        )
 
 
 class UpstreamPool:
@@ -438,28 +441,30 @@
         The answer is those that are gone though the list does not say so yet: a new worker has their address,
         and what was sent to them would come to it, cold as it is."""
         if news.is_snapshot:
-            listed = {entry.server.id for entry in news.entries}
+            listed = {entry.endpoint.id for entry in news.entries}
             for name in [name for name in self._known if name not in listed]:
                 self._retire(self._known.pop(name))
         for entry in news.entries:
-            name = entry.server.id
+            name = entry.endpoint.id
             worker = self._known.get(name)
             if worker is not None and (
-                entry.server.state is not EndpointState.READY or not worker.is_same_process(entry)
+                entry.endpoint.state is not EndpointState.READY or not worker.is_same_process(entry)
             ):
                 self._retire(self._known.pop(name))
                 worker = None
             if worker is not None:
                 worker.entry = entry
-            elif entry.server.state is EndpointState.READY:
+            elif entry.endpoint.state is EndpointState.READY:
                 self._known[name] = Upstream(entry)
         heirs = {
-            entry.address: entry.server for entry in news.entries if entry.server.state is EndpointState.READY
+            entry.address: entry.endpoint
+            for entry in news.entries
+            if entry.endpoint.state is EndpointState.READY
         }
         displaced = []
         for name, worker in list(self._known.items()):
             heir = heirs.get(worker.entry.address)
-            if heir is not None and heir.id != name and heir.started_ms >= worker.entry.server.started_ms:
+            if heir is not None and heir.id != name and heir.started_ms >= worker.entry.endpoint.started_ms:
                 self._retire(self._known.pop(name))
                 displaced.append(worker.entry)
         return displaced
@@ -472,7 +477,7 @@
             attempt.end(AttemptResult.CONNECT_FAILED)
 
     def serves(self, worker: Upstream) -> bool:
-        return self._known.get(worker.entry.server.id) is worker
+        return self._known.get(worker.entry.endpoint.id) is worker
 
     # -- attempts
 
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -1224,7 +1224,7 @@
 
 def test_a_list_in_discoverys_form():
     news = endpoint_list_from(listing(entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list")
-    server = news.entries[0].server
+    server = news.entries[0].endpoint
     assert (news.index, news.is_snapshot, news.entries[0].address) == (41, False, (HOST, 5000))
     assert (server.id, server.zone, server.state, server.started_ms) == (
         "w1",
--- a/tests/test_surroundings.py
+++ b/tests/test_surroundings.py
@@ -50,7 +50,7 @@
         assert target == WATCH.format(41)
         writer.write(told(listing(entry("w1", 5001, "gone"), index=43, snapshot=False)))
         news = await lists.get()
-        assert not news.is_snapshot and news.entries[0].server.state.value == "gone"
+        assert not news.is_snapshot and news.entries[0].endpoint.state.value == "gone"
         assert (await fake.called())[0] == WATCH.format(43)
 
     watched(scenario)
@@ -323,7 +323,7 @@
         odd = [{"name": "w"}, 3, entry("w2", 0), entry("w3", 5001, "asleep")]
         writer.write(told(listing(*odd, entry("w1", 5001), index=41)))
         news = await lists.get()
-        assert [one.server.id for one in news.entries] == ["w1"] and news.is_snapshot
+        assert [one.endpoint.id for one in news.entries] == ["w1"] and news.is_snapshot
         assert (await fake.called())[0] == WATCH.format(41)
 
     watched(scenario)
@@ -368,11 +368,11 @@
             _, writer = await new.called()
             old = [entry("w0", 5001), entry("w1", 5002, since_ms=7), entry("w2", 5003), entry("w4", 5005)]
             writer.write(told(listing(*old, index=40)))
-            states = {one.server.id: one.server.state.value for one in (await lists.get()).entries}
+            states = {one.endpoint.id: one.endpoint.state.value for one in (await lists.get()).entries}
             assert states == {"w0": "draining", "w1": "ready", "w2": "ready", "w4": "ready"}
             _, writer = await new.called()
             writer.write(told(listing(entry("w0", 5001), index=43, snapshot=False)))  # it drains no more
-            assert (await lists.get()).entries[0].server.state.value == "ready"
+            assert (await lists.get()).entries[0].endpoint.state.value == "ready"
 
     watched(scenario)
 
@@ -452,7 +452,9 @@
         text = json.dumps(listing(*(entry(f"s-{n:08x}", 5000 + n) for n in range(1024)), index=41), indent=4)
         writer.write(answer(body=text.encode()))
         news = await lists.get()
-        assert len({one.server.id for one in news.entries}) == len(news.entries) == 1024 and news.is_snapshot
+        assert (
+            len({one.endpoint.id for one in news.entries}) == len(news.entries) == 1024 and news.is_snapshot
+        )
 
     watched(scenario)
 
