--- a/gateway/model/settings_reader.py
+++ b/gateway/model/settings_reader.py
@@ -22,8 +22,8 @@
 class JsonObject:
     """An object of JSON, with the path that leads to it.
 
-    Each method returns the value of one key, or the fallback where the object lacks it. It raises SettingsError
-    with the key's path where there is neither, or a value of another type.
+    Each method returns the value of one key, or the fallback where the object lacks it. It raises
+    SettingsError with the key's path where there is neither, or a value of another type.
     """
 
     def __init__(self, value: Any, path: str) -> None:
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -18,8 +18,8 @@
 
 FIRST_SNAPSHOT_S = 0.5  # how long the first snapshot is waited for; after that the known list has to do
 # After SIGTERM connections go on coming for up to 0.4 s, clients go on using those that they have, and peers
-# find their customers' quota leader here. All this is served until it is time to finish: the longest deadline,
-# of 3 s at most, and 0.7 s more are sure before SIGKILL.
+# find their customers' quota leader here. All this is served until it is time to finish: the longest
+# deadline, of 3 s at most, and 0.7 s more are sure before SIGKILL.
 MAX_SURE_DEADLINE_S = 3.0
 SURE_BEYOND_DEADLINE_S = 0.7
 SPARE_S = 0.5
