--- a/gateway/network/admin.py
+++ b/gateway/network/admin.py
@@ -1,4 +1,4 @@
-"""The operators' door: a second address, one call a connection, answered in the turn that makes it whole."""
+"""The admin endpoint: a second address, one call a connection, answered in the turn that makes it whole."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from gateway.network.gateway import Gateway
 
-MOST = 8  # connections: a reserve of descriptors that neither clients nor workers can take
+MOST = 8  # connections: a reserve of descriptors that neither clients nor endpoints can take
 CALL_MS = 2000.0  # within so long a call must be whole; callers may hold a connection for 4 s without one
 LINGER_MS = 500.0  # what still comes after the answer is read for so long: a reset would erase the answer
 MAX_CALL = 16 * 1024
@@ -29,7 +29,7 @@
 
 
 class AdminEndpoint:
-    """The calls that operators have, and the connections at the door."""
+    """The calls that operators have, and the connections at the admin endpoint."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
@@ -73,18 +73,18 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection at the door."""
+    """One connection at the admin endpoint."""
 
-    def __init__(self, door: AdminEndpoint) -> None:
-        self.door = door
+    def __init__(self, admin: AdminEndpoint) -> None:
+        self.admin = admin
         self.transport: asyncio.Transport | None = None
         self.parser: Any = httptools.HttpRequestParser(self)
         self.url, self.size, self.answered = b"", 0, False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport  # type: ignore[assignment]
-        self.door.came(self)
-        gateway = self.door.gateway
+        self.admin.came(self)
+        gateway = self.admin.gateway
         gateway.timers.at(gateway.clock.now() + CALL_MS, lambda: self.reply(408))
 
     def data_received(self, data: bytes) -> None:
@@ -107,7 +107,7 @@
         except httptools.HttpParserInvalidURLError:
             self.reply(400)
             return
-        self.reply(*self.door.answer(self.parser.get_method(), path.decode("latin-1")))
+        self.reply(*self.admin.answer(self.parser.get_method(), path.decode("latin-1")))
 
     def eof_received(self) -> None:
         """The caller ends its sending: what it has not asked by now it never will."""
@@ -115,7 +115,7 @@
     def connection_lost(self, _problem: Exception | None) -> None:
         self.parser = None  # it holds this connection: the two would wait for the collector
         self.answered = True
-        self.door.callers.pop(self, None)
+        self.admin.callers.pop(self, None)
 
     def reply(self, status: int, kind: bytes = b"text/plain", body: bytes = b"") -> None:
         """The one answer; what follows a call is not looked at."""
@@ -129,11 +129,11 @@
             b"Connection: close\r\n\r\n%s" % (status, REASONS[status], kind, allow, len(body), body)
         )
         transport.write_eof()
-        gateway = self.door.gateway
+        gateway = self.admin.gateway
         gateway.timers.at(gateway.clock.now() + LINGER_MS, self.drop)
 
     def drop(self) -> None:
         """Close at once."""
-        self.door.callers.pop(self, None)
+        self.admin.callers.pop(self, None)
         if self.transport is not None:
             self.transport.abort()
--- a/gateway/network/clock.py
+++ b/gateway/network/clock.py
@@ -1,4 +1,4 @@
-"""The gatekeeper's clock and its timers."""
+"""The gateway's clock and its timers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Timers:
-    """All timers of the gatekeeper on one timer of the loop: most never fire, and setting them is cheap."""
+    """All timers of the gateway on one timer of the loop: most never fire, and setting them is cheap."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         self._loop, self._clock = loop, clock
--- a/gateway/network/connection_limiter.py
+++ b/gateway/network/connection_limiter.py
@@ -12,7 +12,7 @@
 KEPT_PART, ADMITTED_PART, IDLE_PART, CROWD_PART = 0.38, 0.46, 0.02, 0.26
 OWED_MS = 2500.0  # within so long a head must be whole; clients are owed an error or a close within 3 s
 BODY_PER_MS = 32.0  # and a body so much later for each 32 kB that came: a slow client sends 64 kB a second
-OWED_AT_END_MS = 500.0  # and when the gatekeeper ends
+OWED_AT_END_MS = 500.0  # and when the gateway ends
 SPARED_MS = 2000.0  # for so long an idle connection is left alone
 CROWDED_MS = 250.0  # or this long, while clients hold nearly all the connections that they may
 IDLE_MS = 60_000.0  # after so long it is closed in any case
--- a/gateway/network/discovery.py
+++ b/gateway/network/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery: a list to begin with, then a watch for changes, for as long as the gatekeeper runs.
+"""Discovery: a list to begin with, then a watch for changes, for as long as the gateway runs.
 
-Where lists are pushed, the address is taken for an agent's of this gatekeeper's own, which answers at once
+Where lists are pushed, the address is taken for an agent's of this gateway's own, which answers at once
 and at no cost; where they are asked for, or callers are turned away, for one service of the whole fleet."""
 
 from __future__ import annotations
@@ -113,7 +113,7 @@
 
 
 class Discovery:
-    """Watches the list of workers and passes on all that it is told."""
+    """Watches the list of endpoints and passes on all that it is told."""
 
     def __init__(
         self,
@@ -136,7 +136,7 @@
         self._quiet = False  # a failure has been logged, and no success since
         self._skipped = False  # an entry that cannot be read has been logged
         self._newest = 0 if known is None else known  # version of what has been told, at any address
-        self._ready: dict[str, float] = {}  # workers by that, with their starts
+        self._ready: dict[str, float] = {}  # endpoints by that, with their starts
         self._left: dict[str, tuple[float, float]] = {}  # those that want nothing new, and when it was told
         self._moved = asyncio.Event()
         self.listed = asyncio.Event()  # the first answer has come
@@ -173,22 +173,24 @@
                 index, asked_s = self._index, loop.time()
                 try:
                     if index is None:
-                        news = await self._call(PATH, CALL_TIMEOUT_S)
+                        endpoint_list = await self._call(PATH, CALL_TIMEOUT_S)
                     else:
                         limit_s = max(CALL_TIMEOUT_S, watch_ms / 1000 + WATCH_SPARE_S)
-                        news = await self._call(f"{PATH}?since={index}&timeout_ms={watch_ms}", limit_s)
-                    if not news.is_snapshot and (index is None or news.index < index):
+                        endpoint_list = await self._call(
+                            f"{PATH}?since={index}&timeout_ms={watch_ms}", limit_s
+                        )
+                    if not endpoint_list.is_snapshot and (index is None or endpoint_list.index < index):
                         raise InvalidDiscoveryAnswer(
                             "a change where the whole list was due, or the version went back"
                         )
-                    self._take(news)
-                    self._index = news.index
+                    self._take(endpoint_list)
+                    self._index = endpoint_list.index
                     self._pace.worked()
                     refused = False
                     if (
                         index is not None
                         and watch_ms > 1
-                        and not news.entries
+                        and not endpoint_list.entries
                         and loop.time() - asked_s < MIN_GAP_S
                     ):
                         await asyncio.sleep(MIN_GAP_S)
@@ -213,35 +215,35 @@
         finally:
             self._hang_up()
 
-    def _take(self, news: EndpointList) -> None:
-        if news.entries or news.is_snapshot:
-            self._told(self._as_told_before(news))
+    def _take(self, endpoint_list: EndpointList) -> None:
+        if endpoint_list.entries or endpoint_list.is_snapshot:
+            self._told(self._as_told_before(endpoint_list))
         self.listed.set()
         self._quiet = False
 
-    def _as_told_before(self, news: EndpointList) -> EndpointList:
+    def _as_told_before(self, endpoint_list: EndpointList) -> EndpointList:
         """A whole list that is older than what has been told, as another address may have it, says nothing of
-        what has come since: a worker that wanted nothing new by then is not ready again by it."""
+        what has come since: an endpoint that wanted nothing new by then is not ready again by it."""
         now = asyncio.get_running_loop().time()
-        if news.is_snapshot and news.index < self._newest:
-            news = replace(
-                news,
+        if endpoint_list.is_snapshot and endpoint_list.index < self._newest:
+            endpoint_list = replace(
+                endpoint_list,
                 entries=tuple(
                     replace(entry, endpoint=replace(entry.endpoint, state=EndpointState.DRAINING))
                     if entry.endpoint.state is EndpointState.READY
                     and entry.endpoint.id in self._left
                     and self._left[entry.endpoint.id][0] == entry.endpoint.started_ms
                     else entry
-                    for entry in news.entries
+                    for entry in endpoint_list.entries
                 ),
             )
-        elif news.is_snapshot:
-            self._newest = news.index
-            for name in self._ready.keys() - {entry.endpoint.id for entry in news.entries}:
+        elif endpoint_list.is_snapshot:
+            self._newest = endpoint_list.index
+            for name in self._ready.keys() - {entry.endpoint.id for entry in endpoint_list.entries}:
                 self._left[name] = self._ready.pop(name), now
         else:
-            self._newest = max(self._newest, news.index)
-        for server in [entry.endpoint for entry in news.entries]:
+            self._newest = max(self._newest, endpoint_list.index)
+        for server in [entry.endpoint for entry in endpoint_list.entries]:
             if server.state is EndpointState.READY:
                 self._ready[server.id] = server.started_ms
                 self._left.pop(server.id, None)
@@ -253,7 +255,7 @@
             for name, (started_ms, at_s) in self._left.items()
             if now - at_s < DRAIN_MEMORY_S
         }
-        return news
+        return endpoint_list
 
     def _skip(self, problem: SettingsError) -> None:
         """One entry that cannot be read is no reason to do without the others."""
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -1,6 +1,6 @@
-"""The gatekeeper: what happens becomes events, the module decides, and its actions are carried out.
+"""The gateway: what happens becomes events, the controller decides, and its actions are carried out.
 
-Everything that happens in one turn of the loop goes to the module in one call. The table of open requests
+Everything that happens in one turn of the loop goes to the controller in one call. The table of open requests
 is kept here: a request is in it from its last byte until its one final answer."""
 
 from __future__ import annotations
@@ -50,19 +50,19 @@
 from gateway.network.request_parser import BadRequest, RequestParser
 from gateway.network.upstream import UpstreamAttempt, UpstreamConnection, UpstreamPool
 
-MARGIN_MS = 20.0  # the module is told a deadline so much earlier: the wire and our timers take their time
+MARGIN_MS = 20.0  # the controller is told a deadline so much earlier: the wire and our timers take their time
 GUARD_MS = 5.0  # so long before the client gives up it is answered, come what may
 # Of the descriptors. Clients have up to HARD_PART (see admission.py); at least so many others are for the
-# loop itself, discovery and peers (17 counted in service), the operators' door and the process that follows.
+# loop itself, discovery and peers (17 counted in service), the admin endpoint and the process that follows.
 UPSTREAM_PART, RESERVED_DESCRIPTORS = 0.42, 30
-LOG_EVERY_MS = 10_000.0  # a fault of the module is logged at most so often
+LOG_EVERY_MS = 10_000.0  # a fault of the controller is logged at most so often
 REMEMBER_MS = 2000.0  # for once to twice as long an id stays known after its request has ended
 
 log = logging.getLogger(__name__)
 
 
 def shareable_descriptors(sockets: int) -> int:
-    """Of how many descriptors clients and workers have their parts, so that the others have theirs."""
+    """Of how many descriptors clients and endpoints have their parts, so that the others have theirs."""
     return min(sockets, int((sockets - RESERVED_DESCRIPTORS) / (ADMITTED_PART + UPSTREAM_PART)))
 
 
@@ -101,7 +101,7 @@
 
 
 class Gateway:
-    """One gatekeeper: the module, its open requests, and the ways to clients, workers and peers."""
+    """One gateway: the controller, its open requests, and the ways to clients, endpoints and peers."""
 
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, controller: Controller | None = None
@@ -111,7 +111,7 @@
         self.timers = Timers(loop, self.clock)
         self.controller = controller or Controller(config.settings, config.seed)
         self.metrics = Metrics(kind.name for kind in config.settings.classes)
-        self.other: Callable[[int, bytes], None] | None = None  # tells the other process of this gatekeeper
+        self.other: Callable[[int, bytes], None] | None = None  # tells the other process of this gateway
         self.move: Callable[[LimitedConnection], None] | None = None  # hands a connection over to it
         self.upstreams = UpstreamPool(
             loop,
@@ -135,7 +135,7 @@
         self._serial = 0
         self._end_ms = math.inf  # until then all that comes has to be answered
         self._making_room, self._log_fault_ms = False, 0.0
-        self._carry: dict[type[Any], Callable[[Any], None]] = {
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {
             SendAttempt: self._send,
             Reject: self._refuse,
             Fail: self._fail,
@@ -151,7 +151,7 @@
     # -- events
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the module's next turn, at the end of this turn of the loop."""
+        """Keep an event for the controller's next turn, at the end of this turn of the loop."""
         if not self._events:
             self.loop.call_soon(self._turn)
         self._events.append(event)
@@ -166,17 +166,19 @@
             faults = [problem]
         if faults and self.clock.now() >= self._log_fault_ms:
             self._log_fault_ms = self.clock.now() + LOG_EVERY_MS
-            log.error("the module failed on %d of %d events", len(faults), len(events), exc_info=faults[0])
-        send_attempt = self._carry
+            log.error(
+                "the controller failed on %d of %d events", len(faults), len(events), exc_info=faults[0]
+            )
+        handlers = self._handlers
         for action in actions:
-            send_attempt[type(action)](action)
+            handlers[type(action)](action)
 
-    def on_endpoint_list(self, news: EndpointList) -> None:
+    def on_endpoint_list(self, endpoint_list: EndpointList) -> None:
         """Discovery has told something."""
-        displaced = self.upstreams.update(news)
-        servers = [entry.endpoint for entry in news.entries]
+        displaced = self.upstreams.update(endpoint_list)
+        servers = [entry.endpoint for entry in endpoint_list.entries]
         servers += [replace(entry.endpoint, state=EndpointState.REMOVED) for entry in displaced]
-        self.enqueue(EndpointUpdate(tuple(servers), news.is_snapshot))
+        self.enqueue(EndpointUpdate(tuple(servers), endpoint_list.is_snapshot))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
         """A peer has told something, be it to this process or to the one before."""
@@ -300,7 +302,7 @@
         """Take a request off the table; False if it has had its final answer before.
 
         What was sent of it runs on, until it is called off or answered. An attempt that is not whole at its
-        worker ends here: it would begin for nobody."""
+        endpoint ends here: it would begin for nobody."""
         if self.open.pop(request.id, None) is None:
             return False
         self._names.discard(request.name)
@@ -329,7 +331,7 @@
         return True
 
     def _overdue(self, request: Request) -> None:
-        """The last guard: the module has not answered, and the client is about to give up."""
+        """The last guard: the controller has not answered, and the client is about to give up."""
         if self._finish(request, FAULTED, 504):
             self.enqueue(ClientDisconnected(request.id))
 
@@ -342,7 +344,7 @@
             self.on_client_gone(request)
             request.client.drop()
             request = None
-        if request is None:  # the module can't know it: it ended in between
+        if request is None:  # the controller can't know it: it ended in between
             self.enqueue(AttemptEnded(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True))
             return
         request.sends = number + 1
@@ -367,7 +369,7 @@
             if alarm is not None:
                 alarm.cancel()
         request.client.start_response(source, length, content_type)
-        self.enqueue(ResponseStarted(request.id, attempt.number, attempt.worker))
+        self.enqueue(ResponseStarted(request.id, attempt.number, attempt.endpoint_id))
         return request.client
 
     def _end_passing(self, request: Request, whole: bool) -> None:
@@ -400,7 +402,7 @@
             AttemptEnded(
                 attempt.request_id,
                 attempt.number,
-                attempt.worker,
+                attempt.endpoint_id,
                 ended_ms - attempt.started_ms,
                 result,
                 final,
@@ -425,7 +427,7 @@
 
     def _wake(self, action: SetTimer) -> None:
         woken = TimerFired(action.name)
-        # On the grid of the module's ticks, so that what is due within one tick takes one turn.
+        # On the grid of the controller's ticks, so that what is due within one tick takes one turn.
         due_ms, tick_ms = self.clock.now() + action.after_ms, max(1.0, self.settings.tick_ms)
         self.timers.at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self.enqueue(woken))
 
@@ -436,7 +438,7 @@
             self.other(action.receiver, action.data)
 
     def _ignore(self, _action: Action) -> None:
-        """Discovery is watched unasked, and workers may not be probed."""
+        """Discovery is watched unasked, and endpoints may not be probed."""
 
     # -- what operators see
 
@@ -447,7 +449,7 @@
             open_requests=len(self.open), registry_entries=listed, out_of_rotation=avoided
         )
 
-    # -- another process of this gatekeeper
+    # -- another process of this gateway
 
     def retire(
         self, tell: Callable[[int, bytes], None], move: Callable[[LimitedConnection], None]
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -1,4 +1,4 @@
-"""Datagrams between gatekeepers."""
+"""Datagrams between gateways."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def bound(kind: socket.SocketKind, address: Address, shared: bool) -> socket.socket:
-    """A socket at an address, which another process of this gatekeeper may hold as well."""
+    """A socket at an address, which another process of this gateway may hold as well."""
     sock = socket.socket(socket.AF_INET, kind)
     try:
         sock.setblocking(False)
@@ -31,7 +31,7 @@
 
 
 class GossipSocket:
-    """Tells and hears other gatekeepers; who sent a datagram is known by its address alone.
+    """Tells and hears other gateways; who sent a datagram is known by its address alone.
 
     On a plain socket: the loop's own datagram transport takes several times as long for each message."""
 
@@ -77,11 +77,11 @@
             self._heard(number, data)
 
     def tell(self, receiver: int, data: bytes) -> None:
-        """To one gatekeeper by its number, or to all for -1."""
+        """To one gateway by its number, or to all for -1."""
         if self._socket is None:
             return
         if len(data) > MAX_BYTES:
-            log.error("a message of %d bytes to gatekeeper %d was not sent", len(data), receiver)
+            log.error("a message of %d bytes to gateway %d was not sent", len(data), receiver)
             return
         peers = self._config.peers
         address: Address | None = self._config.peers_all
--- a/gateway/network/hot_restart.py
+++ b/gateway/network/hot_restart.py
@@ -1,4 +1,4 @@
-"""One process of the gatekeeper follows another while that one serves: what passes between the two.
+"""One process of the gateway follows another while that one serves: what passes between the two.
 
 They talk over a Unix socket in $TMPDIR, in packets whose first byte says what they are. The new process asks
 for the service (T). The old one answers with its state (S, in parts) and the listening sockets (G), then with
@@ -33,7 +33,7 @@
 
 
 class ProcessLink:
-    """A connection between two processes of the gatekeeper, in packets that may carry descriptors."""
+    """A connection between two processes of the gateway, in packets that may carry descriptors."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self._loop, self._plug = loop, sock
@@ -104,7 +104,7 @@
         self._gateway, self._config, self._loop = gateway, gateway.config, gateway.loop
         self._listener: socket.socket | None = None
         self._server: asyncio.Server | None = None
-        self._door: socket.socket | None = None  # where the next process asks
+        self._rendezvous: socket.socket | None = None  # where the next process asks
         self._before: ProcessLink | None = None  # to the process before this one, while that runs
         self._next: ProcessLink | None = None  # to the one that follows
         self._answer: asyncio.Future[None] | None = None
@@ -239,17 +239,17 @@
             sock.close()
             log.warning("no process can follow this one: %s", problem)
             return
-        self._door = sock
+        self._rendezvous = sock
         self._loop.add_reader(sock, self._called)
 
-    def _close_door(self) -> None:
-        if self._door is not None:
-            self._loop.remove_reader(self._door)
-            self._door.close()
-            self._door = None
+    def _close_rendezvous(self) -> None:
+        if self._rendezvous is not None:
+            self._loop.remove_reader(self._rendezvous)
+            self._rendezvous.close()
+            self._rendezvous = None
 
     def _stop_accepting(self) -> None:
-        self._close_door()
+        self._close_rendezvous()
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -257,9 +257,9 @@
     # -- the old process
 
     def _called(self) -> None:
-        assert self._door is not None
+        assert self._rendezvous is not None
         try:
-            sock, _ = self._door.accept()
+            sock, _ = self._rendezvous.accept()
         except OSError:
             return
         sock.setblocking(False)
--- a/gateway/network/metrics.py
+++ b/gateway/network/metrics.py
@@ -1,4 +1,4 @@
-"""What operators see of a gatekeeper, in Prometheus' text form."""
+"""What operators see of a gateway, in Prometheus' text form."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     def __init__(self, classes: Iterable[str]) -> None:
         statuses = (FULFILLED, THROTTLED, FAULTED)
         self.operations = {(name, status): 0 for name in classes for status in statuses}
-        self.relayed = 0  # attempts written whole to workers
+        self.relayed = 0  # attempts written whole to endpoints
 
     def ended(self, name: str, status: str) -> None:
         """A request has had its one final answer."""
--- a/gateway/network/request_parser.py
+++ b/gateway/network/request_parser.py
@@ -1,4 +1,4 @@
-"""What a client's request must look like: what does not is turned away, before the module hears of it."""
+"""What a client's request must look like: what does not is turned away, before the controller hears of it."""
 
 from __future__ import annotations
 
--- a/gateway/network/upload.py
+++ b/gateway/network/upload.py
@@ -1,34 +1,39 @@
-"""A large body on its way from a client to a worker: a part of it is here at any time, never all."""
+"""A large body on its way from a client to an endpoint: a part of it is here at any time, never all."""
 
 from __future__ import annotations
 
 from gateway.network.protocols import BodySink, BodySource
 
-MAX_BUFFERED = (
-    256 * 1024
-)  # a body up to this size is held whole; of a larger one so much may wait for its worker
+# A body up to this size is held until it is complete; of a larger one so much may wait for its endpoint.
+MAX_BUFFERED = 256 * 1024
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 class Upload:
-    """The body of a request that is passed on as it comes."""
+    """The body of a request that is forwarded while it comes.
+
+    It goes to one endpoint alone, as nothing of it is kept.
+    """
 
     def __init__(self, client: BodySource, length: int | None, first: bytes) -> None:
-        self._client, self._chunked = client, length is None
-        self._parts, self._size = [first] if first else [], len(first)
+        """Begin with the first part; the length is None for a body in chunks."""
+        self._client = client
+        self._chunked = length is None
+        self._parts = [first] if first else []
+        self._size = len(first)
         self._sink: BodySink | None = None  # the one that has had the first byte
         self.whole = False  # its last byte has come
         self.framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
 
     def may_send(self) -> bool:
-        """Whether a worker may still have it from its first byte: it goes to one alone, as nothing is kept,
-        and to none when its client has left. Of one held back nothing is read, so the socket is asked."""
-        return self._sink is None and not self._client.is_disconnected()
+        """Return whether an endpoint may still have it from its first byte.
 
-    def _framed(self, part: bytes) -> bytes:
-        return b"%x\r\n%s\r\n" % (len(part), part) if self._chunked else part
+        Not one whose client has left: of a body that is held back nothing is read, so the socket is asked.
+        """
+        return self._sink is None and not self._client.is_disconnected()
 
     def feed(self, part: bytes) -> None:
-        """A part has come. The client is not read on while its worker takes nothing, or there is none yet."""
+        """Take in a part. The client is not read on while its endpoint takes nothing, or has not come up."""
         if self._sink is not None:
             self._sink.write_part(self._framed(part))
             return
@@ -38,24 +43,27 @@
             self._client.hold(True)
 
     def end(self) -> None:
-        """The last byte has come."""
+        """Take note that the last byte has come."""
         self.whole = True
         if self._sink is not None:
-            self._sink.write_last(b"0\r\n\r\n" if self._chunked else b"")
+            self._sink.write_last(LAST_CHUNK if self._chunked else b"")
 
     def attach(self, sink: BodySink, head: bytes) -> None:
-        """The worker's connection is up: what is here goes out on it, and the rest follows."""
-        text = head + b"".join(map(self._framed, self._parts))
+        """Send what is here on an endpoint's connection, which has just come up; the rest follows."""
+        data = head + b"".join(map(self._framed, self._parts))
         self._parts.clear()
         self._sink = sink
         self._client.parted()
         if self.whole:
-            sink.write_last(text + (b"0\r\n\r\n" if self._chunked else b""))
+            sink.write_last(data + (LAST_CHUNK if self._chunked else b""))
         else:
-            sink.write_part(text)
+            sink.write_part(data)
             self._client.hold(sink.blocked)
 
     def flow(self, stopped: bool) -> None:
-        """The worker's connection is full, or takes more."""
+        """Take note that the endpoint's connection is full, or takes more."""
         if not self.whole:
             self._client.hold(stopped)
+
+    def _framed(self, part: bytes) -> bytes:
+        return b"%x\r\n%s\r\n" % (len(part), part) if self._chunked else part
--- a/gateway/network/upstream.py
+++ b/gateway/network/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to workers, and the attempts on them. Nothing is resent here: each attempt goes out once."""
+"""Connections to endpoints, and the attempts on them. Nothing is resent here: each attempt goes out once."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 )  # an answer up to this size is held until it is whole, and can be tried again if it breaks;
 MAX_BUFFERED_UNSIZED = 16 * 1024  # one that does not say how long it is, up to this
 STALL_MS = 10_000.0  # of an answer that is passed on something must move within so long
-UPLOAD_STALL_MS = 5000.0  # and a worker must take something of a body that waits for it
-IDLE_PART = 0.6  # of the time after which a worker closes an idle connection: ours are closed well before
-MAX_PER_UPSTREAM = 128  # connections to one worker, in use or idle
-MAX_IDLE = 24  # idle ones kept to one worker
+UPLOAD_STALL_MS = 5000.0  # and an endpoint must take something of a body that waits for it
+IDLE_PART = 0.6  # of the time after which an endpoint closes an idle connection: ours are closed well before
+MAX_PER_UPSTREAM = 128  # connections to one endpoint, in use or idle
+MAX_IDLE = 24  # idle ones kept to one endpoint
 SWEEP_MS = 1000.0
 # A connection is used again after so long: a second answer, which would be taken for the next request's, may
 # come some milliseconds late (seen: up to 3.8), and shows by then.
@@ -45,14 +45,14 @@
 
 
 class UpstreamAttempt:
-    """One request on its way to one worker; ends once, with `done(attempt, result, body, type, load)`.
+    """One request on its way to one endpoint; ends once, with `done(attempt, result, body, type, load)`.
 
     An answer too large to be held goes to the client that `begin` names, as it comes."""
 
     __slots__ = (
         "request_id",
         "number",
-        "worker",
+        "endpoint_id",
         "message",
         "upload",
         "started_ms",
@@ -71,14 +71,19 @@
         self,
         request_id: int,
         number: int,
-        worker: str,
+        endpoint_id: str,
         message: bytes,
         upload: Upload | None,
         done: Done,
         begin: Begin,
         send_by_ms: float = math.inf,
     ) -> None:
-        self.request_id, self.number, self.worker, self.message = request_id, number, worker, message
+        self.request_id, self.number, self.endpoint_id, self.message = (
+            request_id,
+            number,
+            endpoint_id,
+            message,
+        )
         self.upload = upload  # what of the request is still to come
         self.done: Done | None = done
         self.begin, self.send_by_ms = begin, send_by_ms
@@ -114,16 +119,16 @@
                 alarm.cancel()
         if self.connect_task is not None:
             self.connect_task.cancel()
-        if self.connection is not None:  # no whole answer has come: the worker learns by the end of it
+        if self.connection is not None:  # no whole answer has come: the endpoint learns by the end of it
             self.connection.discard()
         done(self, result, body, content_type, load)
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to a worker; it carries one attempt at a time."""
+    """One connection to an endpoint; it carries one attempt at a time."""
 
-    def __init__(self, pool: UpstreamPool, worker: Upstream) -> None:
-        self.pool, self.worker = pool, worker
+    def __init__(self, pool: UpstreamPool, upstream: Upstream) -> None:
+        self.pool, self.upstream = pool, upstream
         self.transport: asyncio.Transport | None = None
         self.attempt: UpstreamAttempt | None = None
         self.idle_since_ms = 0.0
@@ -153,7 +158,7 @@
         transport.set_write_buffer_limits(high=WHOLE_WRITE, low=0)  # type: ignore[attr-defined]
 
     def pause_writing(self) -> None:
-        """A large request is not out: should the connection break now, the worker never had it whole. The
+        """A large request is not out: should the connection break now, the endpoint never had it whole. The
         loop tells it at the end of the turn in which it was written."""
         self.blocked, self.last_progress_ms = True, self.pool.clock.now()
         if not self.is_unsent:
@@ -181,7 +186,7 @@
             self._is_out()
 
     def _is_out(self) -> None:
-        """The worker has the whole request, for all that can be known here."""
+        """The endpoint has the whole request, for all that can be known here."""
         self.is_unsent = False
         self.pool.metrics.relayed += 1
 
@@ -214,7 +219,7 @@
             self._fault(AttemptResult.ERROR)
 
     def eof_received(self) -> None:
-        """The worker ends its sending: so ends an answer that has no other end."""
+        """The endpoint ends its sending: so ends an answer that has no other end."""
         if self.attempt is not None and self.ends_with_connection and not self.closed and not self.is_reset():
             self.complete, self.keep = True, False
             self._answered()
@@ -351,7 +356,7 @@
             attempt.end(result)
 
     def is_stalled(self, now: float) -> bool:
-        """Whether nothing moves any more: of a body on the worker's side, of an answer on either."""
+        """Whether nothing moves any more: of a body on the endpoint's side, of an answer on either."""
         end = self.transport if self.client is None else self.client.transport
         waits = end.get_write_buffer_size() if end is not None else 0
         if waits != self.waits:  # a slow one that takes something all the same
@@ -379,7 +384,7 @@
 
 
 class Upstream:
-    """One process of a worker, as discovery lists it, with our connections to it."""
+    """One process of an endpoint, as discovery lists it, with our connections to it."""
 
     __slots__ = ("entry", "idle", "connections", "connecting")
 
@@ -397,7 +402,7 @@
 
 
 class UpstreamPool:
-    """The workers that discovery has named, by name."""
+    """The endpoints that discovery has named, by name."""
 
     def __init__(
         self,
@@ -429,55 +434,60 @@
 
     def close_idle_connections(self) -> None:
         """Close all connections that carry nothing."""
-        for worker in self._known.values():
-            for connection in list(worker.idle):
+        for upstream in self._known.values():
+            for connection in list(upstream.idle):
                 connection.discard()
 
     # -- discovery
 
-    def update(self, news: EndpointList) -> list[EndpointEntry]:
+    def update(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
         """Take in a list. What left service or runs anew loses its idle connections and waiting attempts.
 
-        The answer is those that are gone though the list does not say so yet: a new worker has their address,
+        The answer is those that are gone though the list does not say so yet: a new endpoint has their
+        address,
         and what was sent to them would come to it, cold as it is."""
-        if news.is_snapshot:
-            listed = {entry.endpoint.id for entry in news.entries}
+        if endpoint_list.is_snapshot:
+            listed = {entry.endpoint.id for entry in endpoint_list.entries}
             for name in [name for name in self._known if name not in listed]:
                 self._retire(self._known.pop(name))
-        for entry in news.entries:
+        for entry in endpoint_list.entries:
             name = entry.endpoint.id
-            worker = self._known.get(name)
-            if worker is not None and (
-                entry.endpoint.state is not EndpointState.READY or not worker.is_same_process(entry)
+            upstream = self._known.get(name)
+            if upstream is not None and (
+                entry.endpoint.state is not EndpointState.READY or not upstream.is_same_process(entry)
             ):
                 self._retire(self._known.pop(name))
-                worker = None
-            if worker is not None:
-                worker.entry = entry
+                upstream = None
+            if upstream is not None:
+                upstream.entry = entry
             elif entry.endpoint.state is EndpointState.READY:
                 self._known[name] = Upstream(entry)
-        heirs = {
+        successors = {
             entry.address: entry.endpoint
-            for entry in news.entries
+            for entry in endpoint_list.entries
             if entry.endpoint.state is EndpointState.READY
         }
         displaced = []
-        for name, worker in list(self._known.items()):
-            heir = heirs.get(worker.entry.address)
-            if heir is not None and heir.id != name and heir.started_ms >= worker.entry.endpoint.started_ms:
+        for name, upstream in list(self._known.items()):
+            successor = successors.get(upstream.entry.address)
+            if (
+                successor is not None
+                and successor.id != name
+                and successor.started_ms >= upstream.entry.endpoint.started_ms
+            ):
                 self._retire(self._known.pop(name))
-                displaced.append(worker.entry)
+                displaced.append(upstream.entry)
         return displaced
 
-    def _retire(self, worker: Upstream) -> None:
+    def _retire(self, upstream: Upstream) -> None:
         """Nothing new goes there. What is on its way may still be answered."""
-        for connection in list(worker.idle):
+        for connection in list(upstream.idle):
             connection.discard()
-        for attempt in list(worker.connecting):  # not a byte of these was written
+        for attempt in list(upstream.connecting):  # not a byte of these was written
             attempt.end(AttemptResult.CONNECT_FAILED)
 
-    def serves(self, worker: Upstream) -> bool:
-        return self._known.get(worker.entry.endpoint.id) is worker
+    def serves(self, upstream: Upstream) -> bool:
+        return self._known.get(upstream.entry.endpoint.id) is upstream
 
     # -- attempts
 
@@ -489,28 +499,28 @@
             self.allow(attempt, timeout_ms)
         if attempt.send_by_ms < math.inf:
             attempt.send_by_timer = self._timers.at(attempt.send_by_ms, attempt.expire)
-        worker = self._known.get(attempt.worker)
+        upstream = self._known.get(attempt.endpoint_id)
         may_send = attempt.may_send(now)  # the loop may have been slow since this was decided
-        kept = self._kept(worker, now) if worker is not None and may_send else None
+        kept = self._kept(upstream, now) if upstream is not None and may_send else None
         if not may_send:
             self._loop.call_soon(attempt.end, AttemptResult.NOT_SENT)
         elif kept is not None:
             kept.send_attempt(attempt)
-        elif worker is None or worker.connections >= MAX_PER_UPSTREAM or self._connections >= self._max:
+        elif upstream is None or upstream.connections >= MAX_PER_UPSTREAM or self._connections >= self._max:
             self._loop.call_soon(attempt.end, AttemptResult.CONNECT_FAILED)
         else:
-            worker.connections += 1
+            upstream.connections += 1
             self._connections += 1
-            worker.connecting.append(attempt)
+            upstream.connecting.append(attempt)
             attempt.connect_timer = self._timers.at(
                 now + self._connect_timeout_ms, lambda: attempt.end(AttemptResult.CONNECT_FAILED)
             )
-            connection = UpstreamConnection(self, worker)
+            connection = UpstreamConnection(self, upstream)
             attempt.connect_task = self._loop.create_task(
-                self._loop.create_connection(lambda: connection, *worker.entry.address)
+                self._loop.create_connection(lambda: connection, *upstream.entry.address)
             )
             attempt.connect_task.add_done_callback(
-                functools.partial(self._on_connected, worker, attempt, connection)
+                functools.partial(self._on_connected, upstream, attempt, connection)
             )
 
     def allow(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
@@ -519,35 +529,37 @@
             self.clock.now() + timeout_ms, lambda: attempt.end(AttemptResult.TIMEOUT)
         )
 
-    def _kept(self, worker: Upstream, now: float) -> UpstreamConnection | None:
+    def _kept(self, upstream: Upstream, now: float) -> UpstreamConnection | None:
         """The kept connection used last that has rested and on which nothing waits. Where something does, it
         is closed."""
-        for connection in [one for one in reversed(worker.idle) if now - one.idle_since_ms >= REUSE_DELAY_MS]:
+        for connection in [
+            one for one in reversed(upstream.idle) if now - one.idle_since_ms >= REUSE_DELAY_MS
+        ]:
             if connection.is_quiet():
-                worker.idle.remove(connection)
+                upstream.idle.remove(connection)
                 return connection
             connection.discard()
         return None
 
     def _on_connected(
         self,
-        worker: Upstream,
+        upstream: Upstream,
         attempt: UpstreamAttempt,
         connection: UpstreamConnection,
         connect_task: asyncio.Task[Any],
     ) -> None:
         """A connection has come up, or has not. Called for a cancelled task too, even one never begun."""
-        worker.connecting.remove(attempt)
+        upstream.connecting.remove(attempt)
         attempt.connect_task = None
         problem = None if connect_task.cancelled() else connect_task.exception()
         if problem is not None and not isinstance(problem, OSError):
-            log.error("connecting to %s failed", worker.entry.address, exc_info=problem)
+            log.error("connecting to %s failed", upstream.entry.address, exc_info=problem)
         if attempt.connect_timer is not None:
             attempt.connect_timer.cancel()
         usable = not connect_task.cancelled() and problem is None and not connection.closed
         if not attempt.may_send(self.clock.now()):  # its alarm may be due too, and come after this
             attempt.end(AttemptResult.NOT_SENT)
-        if usable and attempt.done is not None and self.serves(worker):
+        if usable and attempt.done is not None and self.serves(upstream):
             connection.send_attempt(attempt)
         else:  # also when word of a drain came meanwhile: nothing may be written to it any more
             connection.discard()
@@ -556,30 +568,30 @@
     # -- connections
 
     def release(self, connection: UpstreamConnection) -> None:
-        worker = connection.worker
-        if connection.closed or not self.serves(worker) or len(worker.idle) >= MAX_IDLE:
+        upstream = connection.upstream
+        if connection.closed or not self.serves(upstream) or len(upstream.idle) >= MAX_IDLE:
             connection.discard()
             return
         connection.idle_since_ms = self.clock.now()
-        worker.idle.append(connection)
+        upstream.idle.append(connection)
 
     def forget(self, connection: UpstreamConnection) -> None:
         """The connection has ended, or never came up."""
-        worker = connection.worker
-        worker.connections -= 1
+        upstream = connection.upstream
+        upstream.connections -= 1
         self._connections -= 1
-        if connection in worker.idle:
-            worker.idle.remove(connection)
+        if connection in upstream.idle:
+            upstream.idle.remove(connection)
 
     def _sweep(self) -> None:
-        """Close what has been idle for long, before the worker does: that could cross a request."""
+        """Close what has been idle for long, before the endpoint does: that could cross a request."""
         now = self.clock.now()
         self._timers.at(now + SWEEP_MS, self._sweep)
         for connection in [one for one in self.passing if one.is_stalled(now)]:
             connection.abort_request()
-        for worker in self._known.values():
-            while worker.idle and now - worker.idle[0].idle_since_ms > self._idle_ms - SWEEP_MS:
-                worker.idle[0].discard()
+        for upstream in self._known.values():
+            while upstream.idle and now - upstream.idle[0].idle_since_ms > self._idle_ms - SWEEP_MS:
+                upstream.idle[0].discard()
 
     def load_from(self, text: bytes) -> tuple[float, ...]:
         """The load report in an answer's header; nothing where it lacks a field or cannot be read."""
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -467,8 +467,8 @@
         workers = gate.gateway.upstreams
         (connection,) = workers._known["w1"].idle
         since = connection.idle_since_ms
-        assert workers._kept(connection.worker, since + 9.9) is None
-        assert workers._kept(connection.worker, since + 10.1) is connection
+        assert workers._kept(connection.upstream, since + 9.9) is None
+        assert workers._kept(connection.upstream, since + 10.1) is connection
 
     one_worker(scenario)
 
