--- a/tests/test_operations.py
+++ b/tests/test_admin.py
@@ -41,7 +41,7 @@
         (b"GET /_ready HTTP/1.1\r\nA: " + bytes(20_000).replace(b"\0", b"a"), 431),
     ],
 )
-def test_calls_at_the_door(data, status):
+def test_calls_at_the_admin_endpoint(data, status):
     async def scenario():
         async with Gate(Script()) as gate:
             assert (await call(gate, data))[0] == status
@@ -80,7 +80,7 @@
     run(scenario())
 
 
-def test_every_figure_is_there_from_nothing():
+def test_every_metric_is_there_from_nothing():
     async def scenario():
         async with Gate(None, known=[entry("w1", 9), entry("w2", 9, "draining")]) as gate:
             await asyncio.sleep(0)
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("sockets", [96, 192, 256, 1024])
-def test_clients_and_workers_leave_the_door_its_descriptors(sockets):
+def test_clients_and_endpoints_leave_the_admin_endpoint_its_descriptors(sockets):
     """Under a limit of 192 they could have held 168, with 26 to 28 in use beside them."""
 
     async def scenario():
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -362,7 +362,7 @@
         return [finals[event.id % 3](event.id) for event in events if isinstance(event, RequestArrived)]
 
 
-def test_final_answers_without_a_worker_and_of_readiness():
+def test_final_answers_without_an_endpoint_and_of_readiness():
     async def scenario():
         async with Gate(Answering()) as gate:
             replies = [
@@ -424,7 +424,7 @@
     return received
 
 
-def test_the_head_that_a_worker_gets():
+def test_the_head_that_an_endpoint_gets():
     async def scenario():
         chunked = changed(b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\n", **BOOK)
         small = [
--- a/tests/test_surroundings.py
+++ b/tests/test_discovery_and_gossip.py
@@ -351,7 +351,7 @@
     watched(scenario)
 
 
-def test_an_older_list_at_another_address_makes_no_worker_ready_that_was_told_to_drain():
+def test_an_older_list_at_another_address_makes_no_endpoint_ready_that_was_told_to_drain():
     """After SIGHUP the new address may be behind. What a list does not say yet is not taken back by it."""
 
     async def scenario(fake, lists, discovery):
@@ -446,7 +446,7 @@
 # ---- peers --------------------------------------------------------------------------------------
 
 
-def test_a_thousand_servers_are_listed_indented_as_well():
+def test_a_thousand_endpoints_are_listed_indented_as_well():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.called()
         text = json.dumps(listing(*(entry(f"s-{n:08x}", 5000 + n) for n in range(1024)), index=41), indent=4)
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gateway.py
@@ -157,7 +157,7 @@
     run(scenario())
 
 
-def test_a_large_request_that_was_never_whole_at_the_worker_could_not_connect():
+def test_a_large_request_that_was_never_whole_at_the_endpoint_could_not_connect():
     """What the worker closes on while a part of it is still here has not run."""
 
     async def scenario():
@@ -187,7 +187,7 @@
     run(scenario())
 
 
-def test_a_worker_that_is_not_known_could_not_connect():
+def test_an_endpoint_that_is_not_known_could_not_connect():
     async def scenario(worker, gate, client):
         assert (await client.send(request()).answer())[0] == 502
         assert (await gate.script.event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
@@ -195,7 +195,7 @@
     one_worker(scenario, worker="w9")
 
 
-def test_a_silent_worker_times_out_and_its_connection_ends():
+def test_a_silent_endpoint_times_out_and_its_connection_ends():
     async def scenario(worker, gate, client):
         client.send(request())
         assert (await worker.asked())[0] is not None
@@ -349,7 +349,7 @@
     one_worker(scenario)
 
 
-def test_a_large_request_that_is_not_whole_at_the_worker_ends_with_its_client():
+def test_a_large_request_that_is_not_whole_at_the_endpoint_ends_with_its_client():
     async def scenario(worker, gate, client):
         client.send(request(path="/debit", body=bytes(60_000)))
         await worker.asked()
@@ -509,7 +509,7 @@
     one_worker(scenario)
 
 
-def test_a_new_worker_at_the_address_of_an_old_one_takes_its_place():
+def test_a_new_endpoint_at_the_address_of_an_old_one_takes_its_place():
     """Else what is sent under the old name comes to the new process, on connections of the old one."""
 
     async def scenario(worker, gate, client):
@@ -583,7 +583,7 @@
     one_worker(scenario)
 
 
-def test_a_worker_absent_from_a_whole_list_gets_nothing_more():
+def test_an_endpoint_absent_from_a_whole_list_gets_nothing_more():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         gate.gateway.on_endpoint_list(endpoint_list_from(listing(index=2), "list"))
@@ -726,7 +726,7 @@
     one_worker(scenario)
 
 
-def test_the_connections_to_one_worker_are_capped(monkeypatch):
+def test_the_connections_to_one_endpoint_are_capped(monkeypatch):
     monkeypatch.setattr("gateway.network.upstream.MAX_PER_UPSTREAM", 1)
 
     async def scenario(worker, gate, client):
@@ -740,7 +740,7 @@
     one_worker(scenario)
 
 
-def test_connections_are_closed_well_before_the_worker_would():
+def test_connections_are_closed_well_before_the_endpoint_would():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         workers = gate.gateway.upstreams
--- a/tests/test_succession.py
+++ b/tests/test_hot_restart_state.py
@@ -2,7 +2,7 @@
 
 import json
 
-from test_module import SMALL_FLEET
+from test_policy import SIX_ENDPOINTS
 from test_rules import settings
 
 from gateway.engine import hot_restart
@@ -25,7 +25,7 @@
 
 def gateway(seed=1):
     made = Controller(SETTINGS, seed)
-    made.handle(START, [SMALL_FLEET])
+    made.handle(START, [SIX_ENDPOINTS])
     return made
 
 
@@ -123,7 +123,7 @@
     old, new = gateway(), Controller(SETTINGS, 2)
     now, ahead = START + 10, 1e9
     let_in(old, range(12), now)
-    new.handle(START + ahead, [SMALL_FLEET])
+    new.handle(START + ahead, [SIX_ENDPOINTS])
     state = json.loads(json.dumps(hot_restart.export_state(old, now).to_json()))
     hot_restart.take_over(new, now + ahead, GatewayState.from_json(state))
     assert not let_in(new, range(100, 103), now + ahead)
--- a/tests/test_module.py
+++ b/tests/test_policy.py
@@ -42,7 +42,7 @@
 from gateway.policy.fuzzy_share import FuzzyShare
 from gateway.policy.quota_accounts import FORGET_MS
 
-SMALL_FLEET = EndpointUpdate(
+SIX_ENDPOINTS = EndpointUpdate(
     tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(6))
 )
 
@@ -83,7 +83,7 @@
 
 def test_ordinary_request_is_sent_and_ends():
     c = gateway()
-    sends = of(SendAttempt, c.handle(1000, [SMALL_FLEET, ask(1)]))
+    sends = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, ask(1)]))
     assert [send.id for send in sends] == [1]
     assert not of(Fail, c.handle(1050, [outcome(sends[0], AttemptResult.OK)]))
     assert not c.flow.open and not c.flow.attempts.limiter.in_flight.value
@@ -91,7 +91,7 @@
 
 def test_error_is_tried_again_elsewhere_if_safe_and_failed_if_unsafe():
     c = gateway()
-    safe, unsafe = of(SendAttempt, c.handle(1000, [SMALL_FLEET, ask(1), ask(2, "debit")]))
+    safe, unsafe = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, ask(1), ask(2, "debit")]))
     if safe.id != 1:
         safe, unsafe = unsafe, safe
     actions = c.handle(1050, [outcome(safe, AttemptResult.ERROR), outcome(unsafe, AttemptResult.ERROR)])
@@ -103,7 +103,7 @@
 def test_a_repeat_is_sent_with_the_time_by_which_it_must_be_out():
     """From the first attempt's send; where that never ran, the next one is the first."""
     c = gateway()
-    (first,) = of(SendAttempt, c.handle(1000, [SMALL_FLEET, ask(1, "hold")]))
+    (first,) = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, ask(1, "hold")]))
     (second,) = of(SendAttempt, c.handle(1050, [outcome(first, AttemptResult.CONNECT_FAILED)]))
     (third,) = of(SendAttempt, c.handle(1100, [outcome(second, AttemptResult.RESET, attempt=1)]))
     assert (first.send_by_ms, second.send_by_ms) == (math.inf, math.inf)
@@ -118,13 +118,13 @@
     """Reset long after it was sent it was answered with 503, come again, though no server knew it any more.
     Its window is of 1200 ms, and clients are told to wait for 250 ms."""
     c = gateway(max_attempts=1)
-    (send,) = of(SendAttempt, c.handle(1000, [SMALL_FLEET, ask(1, "seat")]))
+    (send,) = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, ask(1, "seat")]))
     actions = c.handle(1000 + after_ms, [outcome(send, AttemptResult.RESET)])
     assert (len(of(Reject, actions)), len(of(Fail, actions))) == (harmless, not harmless)
 
 
 @pytest.mark.parametrize("name, moved", (("hold", ("z1", 0)), ("book", ("z0", 2))))
-def test_a_repeat_stays_where_its_server_was_when_it_was_sent(name, moved):
+def test_a_repeat_stays_where_its_endpoint_was_when_it_was_sent(name, moved):
     c, (zone, cell) = gateway(), moved
     first = Endpoint("a", "z0", 0, EndpointState.READY)
     (send,) = of(SendAttempt, c.handle(1000, [EndpointUpdate((first,)), ask(1, name)]))
@@ -136,7 +136,7 @@
 
 def test_unsafe_is_tried_again_when_it_never_ran():
     c = gateway()
-    (send,) = of(SendAttempt, c.handle(1000, [SMALL_FLEET, ask(1, "debit")]))
+    (send,) = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, ask(1, "debit")]))
     (again,) = of(SendAttempt, c.handle(1010, [outcome(send, AttemptResult.OVERLOADED)]))
     assert again.id == 1
 
@@ -172,7 +172,7 @@
     assert of(Reject, c.handle(1002, [ask(3, due=900.0)])) == [Reject(3)]
     c.handle(1003, [ask(4)])  # no servers: held
     assert 4 in c.flow.open
-    (send,) = of(SendAttempt, c.handle(1004, [SMALL_FLEET]))
+    (send,) = of(SendAttempt, c.handle(1004, [SIX_ENDPOINTS]))
     assert of(CancelAttempt, c.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
     assert c.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
     c.handle(
@@ -186,7 +186,7 @@
     assert c.flow.attempts.limiter.in_flight.value == 0 and not c.flow.open
 
 
-def test_held_without_servers_is_refused_before_its_time_is_up():
+def test_held_without_endpoints_is_refused_before_its_time_is_up():
     c = gateway()
     c.handle(1000, [EndpointUpdate(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
     refused = {}
@@ -207,7 +207,7 @@
 
 def test_peer_bytes_that_cannot_be_read_change_nothing():
     c = gateway()
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     good = messages.encode(5, 1.0, [item(messages.EntryKind.USED, units=4)], [])
     odd = [
         messages.encode(5, 1.0, [item(messages.EntryKind.USED, class_index=15)], []),
@@ -289,7 +289,7 @@
 def test_learned_answer_time_cannot_lock_a_class_out():
     """Refused on arrival, nothing is answered, so nothing would ever bring the learned time down."""
     c = gateway()
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     c.flow.attempts.latencies.expected_ms["look"] = 5000.0
     assert of(SendAttempt, c.handle(1001, [ask(1)]))
 
@@ -321,7 +321,7 @@
 
 def test_below_the_cap_nothing_is_held_and_at_it_the_worthiest_leave_first():
     c = gateway(gateways=1)
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     calm = [ask(n, customer=f"c{n}") for n in range(1, 200)]
     first = of(SendAttempt, c.handle(1001, calm))
     assert c.flow.attempts.limiter.limit <= len(first) <= c.flow.attempts.limiter.limit + 2
@@ -350,21 +350,21 @@
     assert gateways > 1 or window.available() < window.limit + 2
 
 
-def test_cap_on_attempts_out_is_kept_by_the_home_for_all_gateways():
+def test_cap_on_attempts_out_is_kept_by_the_quota_leader_for_all_gateways():
     number = home_of("o")
     c = gateway(number=number)
     peer = (number + 1) % 3
     asks = [item(messages.EntryKind.REQUEST, "o", n, plan_index=2) for n in (1, 2, 3)]
-    c.handle(1000, [SMALL_FLEET, GossipReceived(peer, messages.encode(1, 1.0, asks, []))])
+    c.handle(1000, [SIX_ENDPOINTS, GossipReceived(peer, messages.encode(1, 1.0, asks, []))])
     assert len(of(SendAttempt, c.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]))) == 1
     free = messages.encode(1, 1.0, [item(messages.EntryKind.RETURN, "o", 2, plan_index=2)], [])
     assert len(of(SendAttempt, c.handle(1002, [GossipReceived(peer, free)]))) == 1
 
 
-def test_home_lends_to_all_gateways_together_no_more_than_the_quota():
+def test_quota_leader_lends_to_all_gateways_together_no_more_than_the_quota():
     """Hundreds of gateways with a slice each would pass many quotas; repeats change nothing."""
     c = gateway(gateways=300, number=7)
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     granted = set()
     for n in range(300):
         data = messages.encode(1, 1.0, [item(messages.EntryKind.REQUEST, serial=9)], [])
@@ -386,18 +386,18 @@
     granted = {}
     for kind, worthiest in ((messages.EntryKind.RETRY_REQUEST, 0), (messages.EntryKind.REQUEST, 1)):
         c = gateway(gateways=300, number=7)
-        c.handle(1000, [SMALL_FLEET])
+        c.handle(1000, [SIX_ENDPOINTS])
         asks = [item(kind, serial=n, class_index=worthiest) for n in range(1, 16)]
         c.handle(1001, [GossipReceived(1, messages.encode(1, 1.0, asks, []))])
         granted[kind] = len(c.flow.leader.buckets[asks[0].bucket_name].granted)
     assert granted[messages.EntryKind.RETRY_REQUEST] <= 7 and granted[messages.EntryKind.REQUEST] >= 11
 
 
-def test_a_silent_home_is_asked_again_and_then_one_request_goes_on_credit():
+def test_a_silent_quota_leader_is_asked_again_and_then_one_request_goes_on_credit():
     """A stalled home must not stop a quiet customer, and must not open its quota at every gateway either."""
     number = (home_of("c") + 1) % 3
     c = gateway(number=number)
-    events, told, sent = [SMALL_FLEET, *(ask(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
+    events, told, sent = [SIX_ENDPOINTS, *(ask(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
     for now in range(1000, 1500, 4):
         actions = c.handle(now, [*events, TimerFired("agenda")])
         events, told, sent = [], told + of(SendGossip, actions), sent + of(SendAttempt, actions)
@@ -412,7 +412,7 @@
 def test_a_customer_is_forgotten_only_when_its_quota_is_full_again_and_nothing_of_it_is_open():
     """Customers who come once would be kept for ever; one forgotten too early would be granted twice."""
     c = gateway(gateways=1, number=0)
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     sends = of(SendAttempt, c.handle(1001, [ask(n) for n in range(12)]))  # all of its burst; one stays open
     c.handle(1002, [outcome(send, AttemptResult.OK) for send in sends[1:]])
     last = len(sends)
@@ -433,16 +433,16 @@
 
 def test_another_plan_or_set_in_a_customers_name_binds_nothing_of_its_own():
     c = gateway(gateways=1, number=0)
-    c.handle(1000, [SMALL_FLEET, ask(1, plan="open"), ask(2)])
+    c.handle(1000, [SIX_ENDPOINTS, ask(1, plan="open"), ask(2)])
     assert sorted(account.plan.name for account in c.flow.lease_client.accounts.by_key.values()) == [
         "open",
         "rated",
     ]
 
 
-def test_servers_that_have_gone_and_entries_of_ended_requests_are_forgotten():
+def test_endpoints_that_have_gone_and_entries_of_ended_requests_are_forgotten():
     c = gateway(gateways=1, number=0)
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     sends = of(SendAttempt, c.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
     c.handle(1002, [EndpointUpdate(())])
     assert set(c.directory.table.known) == {send.endpoint for send in sends}
@@ -459,7 +459,7 @@
 def test_who_cannot_have_its_quota_in_time_is_told_at_once_and_who_waited_in_vain_when_that_is_sure():
     """Seen: they waited for 0.6 s, up to 76 at once, on connections that others had then no longer."""
     c = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, overage_cost=0.5),))
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     actions = c.handle(1001, [ask(n, customer="d") for n in range(40)])
     refused, sent = of(Reject, actions), of(SendAttempt, actions)
     waiting = [request for request in c.flow.open.values() if request.awaits_quota]
@@ -475,15 +475,15 @@
     assert not any(request.awaits_quota for request in c.flow.open.values())
 
 
-def test_a_home_denies_a_peer_in_one_message_and_the_peer_refuses():
+def test_a_quota_leader_denies_a_peer_in_one_message_and_the_peer_refuses():
     plans = (Plan("rated", 4, 12, overage_cost=0.5),)
     home, peer = (gateway(gateways=300, number=number, plans=plans) for number in (7, 1))
-    home.handle(1000, [SMALL_FLEET])
+    home.handle(1000, [SIX_ENDPOINTS])
     asks = [item(messages.EntryKind.REQUEST, serial=n) for n in range(1, 16)]
     told = of(SendGossip, home.handle(1001, [GossipReceived(1, messages.encode(1, 1.0, asks, []))]))
     kinds = [one.kind for tell in told for one in messages.decode(tell.data).entries]
     assert messages.EntryKind.DENY in kinds and messages.EntryKind.GRANT in kinds
-    peer.handle(1000, [SMALL_FLEET])
+    peer.handle(1000, [SIX_ENDPOINTS])
     first = peer.settings.number + 6 - messages.customer_tag("c") % 2
     peer.handle(1001, [RequestArrived(1, "c", "look", "rated", 5000.0, 1.0, first, 2)])
     request = peer.flow.open[1]
@@ -496,13 +496,13 @@
 def test_a_full_store_serves_anybody_also_where_the_reserve_is_most_of_a_small_burst():
     c = gateway(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, overage_cost=0.5),))
     again = RequestArrived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_client_retry=True)
-    assert [send.id for send in of(SendAttempt, c.handle(1000, [SMALL_FLEET, again]))] == [1]
+    assert [send.id for send in of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, again]))] == [1]
 
 
 def test_a_bad_event_does_not_lose_the_others_of_its_turn():
     c = gateway(gateways=1, number=0)
     odd = RequestArrived(1, "c", "look", "rated", 5000.0, units="many")
-    sends = of(SendAttempt, c.handle(1000, [SMALL_FLEET, odd, ask(2)]))
+    sends = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, odd, ask(2)]))
     assert [send.id for send in sends] == [2] and len(c.errors) == 1
     c.handle(1001, [])
     assert not c.errors
@@ -520,13 +520,13 @@
     ]
 
 
-def test_cold_server_is_bounded_over_hundreds_of_gateways_even_after_a_stall():
+def test_cold_endpoint_is_bounded_over_hundreds_of_gateways_even_after_a_stall():
     """Rule 4 counts all gateways together: one send from each of 400 would push it over."""
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 50_000.0)
     count = 0
     for n in range(400):
         c = Controller(settings(number=n, gateways=400, may_gossip=False), n)
-        c.handle(50_000, [EndpointUpdate((*SMALL_FLEET.endpoints, cold))])
+        c.handle(50_000, [EndpointUpdate((*SIX_ENDPOINTS.endpoints, cold))])
         burst = [RequestArrived(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
         count += sum(send.endpoint == "cold" for send in of(SendAttempt, c.handle(52_000, burst)))
     warm = 400 * 3 / 7
@@ -536,7 +536,7 @@
 def test_fast_failer_does_not_attract_load():
     c = gateway()
     now, sent, number = 1000.0, [], 0
-    c.handle(now, [SMALL_FLEET])
+    c.handle(now, [SIX_ENDPOINTS])
     for _ in range(200):
         number, now = number + 1, now + 20
         for send in of(SendAttempt, c.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])):
@@ -549,13 +549,13 @@
 
 
 @pytest.mark.parametrize("gateways", (1, 3, 40))
-def test_a_ceiling_holds_however_often_its_home_starts_anew(gateways):
+def test_a_ceiling_holds_however_often_its_quota_leader_starts_anew(gateways):
     """Lives of a second, each after one at rest that lent the whole quota at once: units sent on against a
     store that fills all the while. In its first it may lend what the ceiling holds beyond the quota's."""
     number, now, lent = home_of("k", spread=min(3, gateways)), 100_000.0, []
     level, at = 32.0, now  # the ceiling, as the rules keep it
     for life in range(6):
-        c, events, step = Controller(settings(number=number, gateways=gateways), life), [SMALL_FLEET], 0
+        c, events, step = Controller(settings(number=number, gateways=gateways), life), [SIX_ENDPOINTS], 0
         while step < 1000:
             sends = of(SendAttempt, c.handle(now + step, [TimerFired("agenda"), *events]))
             level, at = min(32.0, level + (now + step - at) / 1000 * 16) - len(sends), now + step
@@ -580,7 +580,7 @@
     assert news.entries == (item,) and [one.class_index for one in news.observations] == [15]
     kinds = tuple(RequestClass(f"k{n}", 600, 1500, 2, Idempotency.IDEMPOTENT) for n in range(20))
     c = gateway(classes=kinds)
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     for turn in range(1, 40):
         actions = c.handle(1000 + 4 * turn, [ask(turn, f"k{turn % 20}", customer=f"{turn:016x}")])
         c.handle(1002 + 4 * turn, [outcome(send, AttemptResult.OK) for send in of(SendAttempt, actions)])
@@ -590,7 +590,7 @@
 MANY = 1024  # gateways, and servers
 
 
-def test_a_thousand_gateways_and_servers_go_through_the_module():
+def test_a_thousand_gateways_and_endpoints_go_through_the_module():
     """Each server is known, nearly each is found by its tag, and each gateway is heard and can be told."""
     servers = tuple(
         Endpoint(f"s-{n:08x}", f"z{n % 3}", n % 64, EndpointState.READY, 1.0, 0.0 if n % 8 else 900.0)
@@ -637,13 +637,13 @@
 
 
 @pytest.mark.parametrize("gateways", (1, 3, GATEWAYS_PER_ENDPOINT))
-def test_few_gateways_send_to_all_servers(gateways):
+def test_few_gateways_send_to_all_endpoints(gateways):
     servers = backends(60)
     assert all(part is servers for part in parts(gateways, servers))
 
 
 @pytest.mark.parametrize(("gateways", "count"), ((40, 60), (40, 36), (40, 7), (16, 60), (47, 53), (300, 60)))
-def test_the_gateways_of_a_large_fleet_share_out_its_servers_evenly(gateways, count):
+def test_the_gateways_of_a_large_fleet_share_out_its_endpoints_evenly(gateways, count):
     servers = backends(count)
     shares = parts(gateways, servers)
     times = [sum(one in part for part in shares) for one in servers]
@@ -658,7 +658,7 @@
         assert all(len(a & b) < GATEWAYS_PER_ENDPOINT for a, b in zip(ids, ids[1:], strict=False))
 
 
-def test_a_server_that_leaves_moves_the_parts_by_little():
+def test_an_endpoint_that_leaves_moves_the_parts_by_little():
     servers = backends(60)
     before, after = parts(40, servers), parts(40, servers[:20] + servers[21:])
     moved = sum(one not in old for old, new in zip(before, after, strict=True) for one in new)
@@ -697,7 +697,7 @@
     """Such a quota does not bound what was sent on before."""
     plans = (Plan("capped", max_in_flight=4, ceiling_per_s=4, ceiling_burst=40, ceiling_slack=2),)
     c = gateway(number=home_of("k"), plans=plans)
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     assert not of(SendAttempt, c.handle(1001, [ask(1, "seat", "capped", customer="k")]))
     assert of(SendAttempt, c.handle(1400, [TimerFired("agenda")]))
 
@@ -706,7 +706,7 @@
     """Seen in service: at a home whose stores were full, customers that came first or after a long pause
     waited for a ceiling that they had never touched, and most were refused."""
     c = gateway(number=home_of("k"))
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     now = 1000.0
     while now < 4000:
         now += 100
@@ -719,7 +719,7 @@
     """Its home is silent: what goes out on credit of the bucket here must wait for no ceiling."""
     c = gateway(number=(home_of("k") + 1) % 3)
     now, sent = 1000.0, []
-    c.handle(now, [SMALL_FLEET])
+    c.handle(now, [SIX_ENDPOINTS])
     while now < 9000 and not sent:
         now += 100
         events = [ask(1, "seat", "capped", 9900.0, "k", units=2)] if now == 7000 else []
@@ -727,18 +727,18 @@
     assert 7000 < now < 7500
 
 
-def test_only_the_home_is_told_and_nothing_without_news():
+def test_only_the_quota_leader_is_told_and_nothing_without_news():
     c, told = gateway(number=(home_of("c") + 1) % 3), []
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     for now in range(1004, 3000, 4):
         events = [ask(now, due=now + 1500.0)] if now == 1500 else []
         told += [tell.receiver for tell in of(SendGossip, c.handle(now, [*events, TimerFired("agenda")]))]
     assert set(told) == {home_of("c")} and len(told) <= 4
 
 
-def test_a_customer_that_repeats_without_end_leaves_room_in_its_homes_inbox():
+def test_a_customer_that_repeats_without_end_leaves_room_in_its_quota_leaders_inbox():
     c = gateway(number=(home_of("c") + 1) % 3, gossip_inbox_per_s=20)
-    c.handle(1000, [SMALL_FLEET, ask(1)])
+    c.handle(1000, [SIX_ENDPOINTS, ask(1)])
     wait = messages.encode(1, 1.0, [item(messages.EntryKind.QUEUED, asked=400.0)], [])
     c.handle(1010, [GossipReceived(home_of("c"), wait)])
     asked = 0
@@ -753,7 +753,7 @@
 def test_four_pressed_gateways_leave_room_in_each_others_inboxes():
     """Seen in service: each took in 40 messages a second and was sent 48, so that one in six was lost."""
     c, told, serial = gateway(gateways=4, number=0, gossip_inbox_per_s=40), [], 0
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     for now in range(1005, 6000, 5):
         serial += 1
         events = [
@@ -771,7 +771,7 @@
     for silent, as the usual time of an answer was half of what a message takes."""
     c = gateway(number=(home_of("c") + 1) % 3)
     own = next(f"o{n}" for n in range(99) if home_of(f"o{n}") == c.settings.number)
-    c.handle(1000, [SMALL_FLEET])
+    c.handle(1000, [SIX_ENDPOINTS])
     before = c.flow.lease_client.reply_ms
     for n in range(1, 60):
         c.handle(1000 + n, [ask(n, "seat", customer=own)])
@@ -785,7 +785,7 @@
 
 def test_business_beyond_what_a_message_holds_goes_with_the_next_one():
     c = gateway(number=(home_of("c") + 1) % 3)
-    actions = c.handle(1000, [SMALL_FLEET, *(ask(n, "seat") for n in range(1, 51))])
+    actions = c.handle(1000, [SIX_ENDPOINTS, *(ask(n, "seat") for n in range(1, 51))])
     told, now = [], 1000.0
     while now < 1100:
         for tell in of(SendGossip, actions):
@@ -795,13 +795,13 @@
     assert sorted(told) == [*range(1, 51)]
 
 
-def test_a_home_can_grant_all_of_a_quota_under_a_ceiling():
+def test_a_quota_leader_can_grant_all_of_a_quota_under_a_ceiling():
     """Seen in service: homes with more than half of a quota in store refused what asked for it, as half of
     each ceiling lay in slices that nobody may use while the home answers."""
     plan = Plan("capped", 4, 12, ceiling_per_s=7.6, ceiling_burst=22.8, ceiling_slack=2)
     c = gateway(number=home_of("k"), plans=(plan,))
     sent, serial, now = 0, 0, 1000.0
-    c.handle(now, [SMALL_FLEET])
+    c.handle(now, [SIX_ENDPOINTS])
     while now < 24_000:
         now += 50
         serial += 1
@@ -812,12 +812,12 @@
     assert 12 + 4 * 20 - 2 <= sent <= 12 + 4 * 20
 
 
-def test_a_try_that_its_homes_word_would_reach_too_late_goes_on_credit_at_once():
+def test_a_try_that_its_quota_leaders_word_would_reach_too_late_goes_on_credit_at_once():
     """Seen on a day with short aims: readings could wait for 72 ms and a home's word took 130, so each
     reading with its home elsewhere was refused unheard, its quota unused."""
     c, now = gateway(number=(home_of("c") + 1) % 3), 1000.0
     others = [f"o{n}" for n in range(300) if home_of(f"o{n}") != c.settings.number]
-    c.handle(now, [SMALL_FLEET])
+    c.handle(now, [SIX_ENDPOINTS])
     c.flow.lease_client.reply_ms = 500.0
     (send,) = of(SendAttempt, c.handle(1001, [ask(1)]))
     again = c.handle(1002, [outcome(send, AttemptResult.OK), ask(2), TimerFired("agenda")])
@@ -831,7 +831,7 @@
     for serial, customer in enumerate(others[:100], 1):  # but none answers in time: that is learned
         for now in range(1000 * serial, 1000 * serial + 1000, 100):
             came = [ask(serial, customer=customer, due=now + 1500.0)] if now % 1000 == 0 else []
-            sends = of(SendAttempt, c.handle(now, [SMALL_FLEET, *talk, *came, TimerFired("agenda")]))
+            sends = of(SendAttempt, c.handle(now, [SIX_ENDPOINTS, *talk, *came, TimerFired("agenda")]))
             sent += [serial] * bool(came and sends)
             c.handle(now, [outcome(send, AttemptResult.OK) for send in sends])
     assert sent and sent[0] > 3 and sent[-1] == 100
@@ -842,7 +842,7 @@
     their homes; a second ask, and then credit, would have come later than they could wait."""
     c, now = gateway(number=(home_of("c") + 1) % 3), 1000.0
     c.flow.lease_client.reply_ms = 100.0
-    actions = c.handle(now, [SMALL_FLEET, ask(1), ask(2)])
+    actions = c.handle(now, [SIX_ENDPOINTS, ask(1), ask(2)])
     assert not of(SendAttempt, actions)
     sent, refused = [], []
     while now < 1500 and not refused:
@@ -856,7 +856,7 @@
     """Seen on a day with a flood: 40% of the tries at a gateway were never asked for, and hung until the time
     they may be held was over, up to 2.2 s."""
     c = gateway(number=(home_of("c") + 1) % 3, gossip_inbox_per_s=20, plans=(Plan("rated", 4, 12),))
-    c.handle(1000, [SMALL_FLEET, ask(1)])
+    c.handle(1000, [SIX_ENDPOINTS, ask(1)])
     wait = messages.encode(1, 1.0, [item(messages.EntryKind.QUEUED, asked=400.0)], [])
     c.handle(1010, [GossipReceived(home_of("c"), wait)])
     refused = of(Reject, c.handle(1012, [ask(n) for n in range(2, 102)]))
@@ -871,7 +871,7 @@
     counts = []
     for gateways in (40, 400):
         c = gateway(gateways=gateways, number=1)
-        c.handle(1000, [SMALL_FLEET])
+        c.handle(1000, [SIX_ENDPOINTS])
         total = 0
         for now in range(1004, 3000, 4):
             came = RequestArrived(now, f"c{now}", "look", "rated", now + 1500.0, 1, 0, gateways)
@@ -897,7 +897,7 @@
 def test_a_wake_up_is_asked_for_what_comes_first_and_not_for_requests_that_have_ended():
     """Seen on a calm day: 3500 wake-ups for 750 requests, most for some that had long been answered."""
     c = gateway(gateways=1)
-    first = of(SetTimer, c.handle(1000, [SMALL_FLEET]))
+    first = of(SetTimer, c.handle(1000, [SIX_ENDPOINTS]))
     assert [round(wake.after_ms) for wake in first] == [100]  # the period
     actions = c.handle(1001, [ask(1)])
     (send,) = of(SendAttempt, actions)
@@ -912,17 +912,17 @@
 
 def test_discovery_that_must_be_asked_is_asked_and_asked_again():
     c = gateway(must_subscribe=True, poll_within_ms=4000)
-    assert of(SubscribeEndpoints, c.handle(1000, [SMALL_FLEET]))
+    assert of(SubscribeEndpoints, c.handle(1000, [SIX_ENDPOINTS]))
     c.handle(1010, [EndpointUpdate((), failed=True)])
     assert of(SubscribeEndpoints, c.handle(2100, [TimerFired("agenda")]))
 
 
-def test_a_server_that_refuses_at_once_draws_no_load_and_does_not_close_the_window():
+def test_an_endpoint_that_refuses_at_once_draws_no_load_and_does_not_close_the_window():
     """It answers in no time, so it looks idle; and its refusals say nothing of the rest of the fleet."""
     for result in (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED):
         c = gateway()
         now, sent = 1000.0, []
-        c.handle(now, [SMALL_FLEET])
+        c.handle(now, [SIX_ENDPOINTS])
         for number in range(1, 300):
             now += 10
             sends = of(SendAttempt, c.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")]))
@@ -939,9 +939,9 @@
         assert c.flow.attempts.limiter.cut == 1.0
 
 
-def test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
+def test_an_endpoint_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
     c = gateway()
-    (send,) = of(SendAttempt, c.handle(1000, [SMALL_FLEET, ask(1)]))
+    (send,) = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, ask(1)]))
     old = c.directory.table.known[send.endpoint].entry
     back = Endpoint(old.id, old.zone, old.cell, EndpointState.READY, 1.0, 1005.0)
     c.handle(1010, [EndpointUpdate((back,), is_snapshot=False)])
@@ -955,7 +955,7 @@
 
 def test_the_time_of_a_large_request_begins_when_it_is_whole():
     gate = gateway()
-    first = gate.handle(0.0, [SMALL_FLEET, large(1)])
+    first = gate.handle(0.0, [SIX_ENDPOINTS, large(1)])
     assert [one.id for one in first if isinstance(one, SendAttempt)] == [1]
     for step in range(1, 1000):  # 4 s, past its first due time, and no second copy of it goes out
         assert not [
@@ -969,7 +969,7 @@
 def test_what_is_no_longer_held_is_not_sent_again():
     for parted in (False, True):
         gate = gateway()
-        (send,) = [one for one in gate.handle(0.0, [SMALL_FLEET, large(1)]) if isinstance(one, SendAttempt)]
+        (send,) = [one for one in gate.handle(0.0, [SIX_ENDPOINTS, large(1)]) if isinstance(one, SendAttempt)]
         news = [BodyReleased(1)] * parted + [
             AttemptEnded(1, 0, send.endpoint, 1.0, AttemptResult.CONNECT_FAILED, False)
         ]
@@ -979,10 +979,10 @@
         ]
 
 
-def test_a_transfer_takes_no_room_while_no_server_works_on_it():
+def test_a_transfer_takes_no_room_while_no_endpoint_works_on_it():
     """Seen on a day with large bodies: slow clients filled the window, and half of the quota was refused."""
     gate = gateway()
-    (send,) = [one for one in gate.handle(0.0, [SMALL_FLEET, large(1)]) if isinstance(one, SendAttempt)]
+    (send,) = [one for one in gate.handle(0.0, [SIX_ENDPOINTS, large(1)]) if isinstance(one, SendAttempt)]
     assert gate.flow.attempts.limiter.in_flight.value == 0 and not any(
         known.in_flight for known in gate.directory.table.known.values()
     )
@@ -1001,7 +1001,7 @@
     )
 
 
-def test_what_is_heard_of_a_tag_that_two_servers_share_blames_neither():
+def test_what_is_heard_of_a_tag_that_two_endpoints_share_blames_neither():
     """Tags have 16 bits: with 200 servers two share one on a quarter of the days, and the good one of them
     was passed by for the failures of the other."""
     names: list[str] = []
@@ -1020,11 +1020,11 @@
     assert failing[:2] == [0.0, 0.0] and failing[2] > 0
 
 
-def test_what_pays_beyond_its_quota_goes_on_though_its_home_was_not_asked():
+def test_what_pays_beyond_its_quota_goes_on_though_its_quota_leader_was_not_asked():
     """Seen with quotas by requests open at once and worth beyond them: KeyError: 0 ended the day in the
     simulator; in service the fault of the turn was logged, and the request waited for its guard."""
     controller = gateway(number=1)
-    controller.handle(0.0, [SMALL_FLEET, ask(1, customer="d")])
+    controller.handle(0.0, [SIX_ENDPOINTS, ask(1, customer="d")])
     (account,) = controller.flow.lease_client.accounts.by_key.values()
     account.fleet_demand_per_s, account.fleet_demand_at_ms, account.quota_level = (
         1e9,
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -351,7 +351,7 @@
     run(whole())
 
 
-def test_a_thousand_peers_and_workers_are_within_the_limits(tmp_path):
+def test_a_thousand_peers_and_endpoints_are_within_the_limits(tmp_path):
     """192 MB at most on the days that count, and 256 descriptors at least."""
 
     async def whole():
@@ -396,7 +396,7 @@
     return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
 
 
-def test_idle_clients_leave_discovery_and_the_door_their_descriptors(tmp_path):
+def test_idle_clients_leave_discovery_and_the_admin_endpoint_their_descriptors(tmp_path):
     """Discovery is down, and they take all that they may, and more. The process neither ends nor spins at the
     limit, and takes the list in time when discovery is back."""
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -404,7 +404,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_cold_server_gets_no_more_than_its_warmth_allows(seed):
+def test_cold_endpoint_gets_no_more_than_its_warmth_allows(seed):
     """Rule 4: a server that starts is sent less than a warm one, by all gateways together, from the start."""
     rng = random.Random(seed)
     gateways = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
@@ -516,7 +516,7 @@
 
 @pytest.mark.parametrize("gateways", (1, 3, 30, 230))
 @pytest.mark.parametrize("warm, known", ((19, True), (8, True), (8, False), (0, True), (0, False)))
-def test_the_sum_of_all_gateways_does_not_push_a_cold_server_over(gateways, warm, known):
+def test_the_sum_of_all_gateways_does_not_push_a_cold_endpoint_over(gateways, warm, known):
     """Where all servers were cold, gateways that had just started sent them all there was, and requests that
     were held tried for a cold server once a second each."""
     assert cold_load(gateways, 2, warm, known) <= 0
--- a/tests/test_adapter.py
+++ b/tests/test_simulator.py
@@ -20,11 +20,11 @@
     "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True},
     "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
 }
-SMALL_FLEET = "FLEET\tcached\t1\t1\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-\n"
+FLEET_LINES = "FLEET\tcached\t1\t1\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-\n"
 
 
 def start(info=INFO):
-    return f"SYNC\t1000\nSWITCH_TO\t0\nCONFIGURE\t7\t{json.dumps(info)}\n{SMALL_FLEET}YOUR_TURN\n"
+    return f"SYNC\t1000\nSWITCH_TO\t0\nCONFIGURE\t7\t{json.dumps(info)}\n{FLEET_LINES}YOUR_TURN\n"
 
 
 def sim(text):
@@ -119,7 +119,7 @@
     def batch(*numbers):
         text = "SYNC\t1000\n"
         for n in numbers:
-            text += f"SWITCH_TO\t{n}\nCONFIGURE\t{n + 7}\t{json.dumps(dict(INFO, myNumber=n))}\n{SMALL_FLEET}"
+            text += f"SWITCH_TO\t{n}\nCONFIGURE\t{n + 7}\t{json.dumps(dict(INFO, myNumber=n))}\n{FLEET_LINES}"
         text += "YOUR_TURN\n"
         for now in range(1004, 1600, 4):
             text += f"SYNC\t{now}\n"
--- a/tests/test_bodies.py
+++ b/tests/test_streaming.py
@@ -133,7 +133,7 @@
     at_gate(scenario)
 
 
-def test_a_client_that_does_not_read_holds_its_worker_back_not_our_memory():
+def test_a_client_that_does_not_read_holds_its_endpoint_back_not_our_memory():
     async def scenario(worker, gate, client):
         client.reader._transport.pause_reading()
         client.send(request())
@@ -186,7 +186,7 @@
     at_gate(scenario)
 
 
-def test_a_worker_that_does_not_read_holds_its_client_back_not_our_memory(monkeypatch):
+def test_an_endpoint_that_does_not_read_holds_its_client_back_not_our_memory(monkeypatch):
     async def scenario(worker, gate, client):
         total = 32 * 1024 * 1024
         client.send(upload(total) + bytes(total))
@@ -271,7 +271,7 @@
 @pytest.mark.parametrize(
     "length, text", [(4, b"head\r\n\r\nbody"), (None, b"head\r\n\r\n4\r\nbody\r\n0\r\n\r\n")]
 )
-def test_a_body_that_was_whole_before_its_worker_goes_to_one_worker_alone(length, text):
+def test_a_body_that_was_whole_before_its_endpoint_goes_to_one_endpoint_alone(length, text):
     """It was not said to be gone: a further attempt went out with its head and nothing of its body."""
     client, sink = Ends(), Ends()
     body = bodies.Upload(client, length, b"")
@@ -282,7 +282,7 @@
     assert sink.text == text and client.is_parted and not body.may_send()
 
 
-def test_a_body_whose_client_has_left_unread_goes_to_no_worker():
+def test_a_body_whose_client_has_left_unread_goes_to_no_endpoint():
     client = Ends()
     client.gone = True
     assert not bodies.Upload(client, 4, b"body").may_send()
@@ -302,7 +302,7 @@
     at_gate(scenario)
 
 
-def test_a_body_broken_off_by_its_worker_has_never_run():
+def test_a_body_broken_off_by_its_endpoint_has_never_run():
     async def scenario(worker, gate, client):
         client.send(upload(LARGE) + bytes(bodies.MAX_BUFFERED))
         _, _, writer = await worker.asked()
