--- a/gateway/network/admin.py
+++ b/gateway/network/admin.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from gateway.network.metrics import KIND
+from gateway.network.metrics import CONTENT_TYPE
 
 if TYPE_CHECKING:
     from gateway.network.gateway import Gateway
@@ -63,7 +63,7 @@
         return 503, b"text/plain", b"no\n"
 
     def _vars(self) -> tuple[int, bytes, bytes]:
-        return 200, KIND, self.gateway.metrics_text()
+        return 200, CONTENT_TYPE, self.gateway.metrics_text()
 
     def came(self, caller: AdminConnection) -> None:
         """Over the limit those that have their answer go first, then the oldest that never asked."""
--- a/gateway/network/client_connection.py
+++ b/gateway/network/client_connection.py
@@ -59,7 +59,7 @@
         self.was_rejected = False  # a whole request, just now
         self.rejections = 0  # requests that were turned away,
         self.paused = False  # and nothing is read because of the last of them
-        self.heard = False  # something came since it was looked at, while it leaves
+        self.received_while_closing = False  # something came since it was looked at, while it leaves
         self.closing_at_ms = 0.0  # since when it leaves
         self.discards_body = (
             False  # the request was answered before it was whole: the rest is read and dropped
@@ -94,7 +94,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.ending:
-            self.heard = True
+            self.received_while_closing = True
             return
         if self.request is not None and not self.message_started:
             # Pipelined. The open request gets its own answer first, then a 400 follows. What comes is read
@@ -238,17 +238,17 @@
         self.message_started = False
         if self.discards_body:
             self.discards_body = False
-            self.gateway.connections.asked(self)
+            self.gateway.connections.on_request_complete(self)
             self.gateway.on_client_idle(self)
             return
         if self.request is not None and self.upload is not None:
-            self.gateway.connections.asked(self)
+            self.gateway.connections.on_request_complete(self)
             self.upload.end()
             self.gateway.whole(self.request)
             return
         self.keep = self.parser.should_keep_alive()  # the parser knows this here and no later
         if self.parser.get_method() == b"GET" and self.url == b"/up":
-            self.gateway.connections.asked(self)
+            self.gateway.connections.on_request_complete(self)
             self._tell_readiness()
             return
         try:
@@ -404,9 +404,9 @@
         self.transport.close()  # type: ignore[union-attr]
 
     def _leave(self) -> None:
-        self.ending, self.heard = True, False
+        self.ending, self.received_while_closing = True, False
         self.closing_at_ms = self.gateway.clock.now()
-        self.gateway.connections.leaves(self, self.closing_at_ms)
+        self.gateway.connections.on_closing(self, self.closing_at_ms)
 
     def is_movable(self) -> bool:
         """Whether another process could go on with the connection: nothing of it is here, in or out."""
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -45,7 +45,7 @@
 from gateway.network.clock import Clock, Timer, Timers
 from gateway.network.connection_limiter import ADMITTED_PART, SWEEP_MS, ConnectionLimiter
 from gateway.network.gossip_socket import GossipSocket
-from gateway.network.metrics import FAULTED, FULFILLED, THROTTLED, Metrics
+from gateway.network.metrics import FinalStatus, Metrics
 from gateway.network.protocols import LimitedConnection
 from gateway.network.request_parser import BadRequest, RequestParser
 from gateway.network.upstream import UpstreamAttempt, UpstreamConnection, UpstreamPool
@@ -191,9 +191,9 @@
     def on_client_connected(self, client: ClientConnection) -> None:
         if client.moved:
             self.connections.add_moved(client, self.clock.now())
-        elif not self.connections.came(client, self.clock.now()):
+        elif not self.connections.add(client, self.clock.now()):
             client.drop()
-        elif len(self.connections) > self.connections.most and not self._making_room:
+        elif len(self.connections) > self.connections.max_kept and not self._making_room:
             # Not at once: of those that came in one go, who has a request here is read first, and stays.
             self._making_room = True
             self.timers.at(self.clock.now() + 1.0, self._make_room)
@@ -206,7 +206,7 @@
         self.connections.on_message_started(client, self.clock.now())
 
     def on_client_idle(self, client: ClientConnection) -> None:
-        self.connections.answered(client, self.clock.now())
+        self.connections.on_answered(client, self.clock.now())
         if self.move is not None:
             self.loop.call_soon(self.hand_over_idle)
 
@@ -217,7 +217,7 @@
                 self.move(client)
 
     def on_client_closed(self, client: ClientConnection, request: Request | None) -> None:
-        self.connections.left(client)
+        self.connections.remove(client)
         if request is not None:
             self.on_client_gone(request)
 
@@ -264,7 +264,7 @@
         self._names.add(form.id)
         if upload is None:
             request.guard = self.timers.at(due_ms - GUARD_MS, lambda: self._overdue(request))
-            self.connections.asked(client)
+            self.connections.on_request_complete(client)
         self.enqueue(
             RequestArrived(
                 request.id,
@@ -317,7 +317,7 @@
     def _finish(
         self,
         request: Request,
-        how: str,
+        how: FinalStatus,
         status: int,
         body: bytes = b"",
         content_type: bytes = b"",
@@ -326,13 +326,13 @@
         """The one final answer, and the one place where it is counted; False if it went out before."""
         if not self._close(request):
             return False
-        self.metrics.ended(request.class_name, how)
+        self.metrics.on_final_answer(request.class_name, how)
         request.client.answer(status, body, content_type, retry_after_ms)
         return True
 
     def _overdue(self, request: Request) -> None:
         """The last guard: the controller has not answered, and the client is about to give up."""
-        if self._finish(request, FAULTED, 504):
+        if self._finish(request, FinalStatus.FAULTED, 504):
             self.enqueue(ClientDisconnected(request.id))
 
     # -- actions
@@ -374,7 +374,9 @@
 
     def _end_passing(self, request: Request, whole: bool) -> None:
         self._close(request)
-        self.metrics.ended(request.class_name, FULFILLED if whole else FAULTED)
+        self.metrics.on_final_answer(
+            request.class_name, FinalStatus.FULFILLED if whole else FinalStatus.FAULTED
+        )
         if whole:
             request.client.finish_response()
         else:
@@ -396,7 +398,7 @@
             final = True
             self._end_passing(request, result is AttemptResult.OK)
         elif request is not None and request.passing is None and result is AttemptResult.OK:
-            final = self._finish(request, FULFILLED, 200, body, content_type)
+            final = self._finish(request, FinalStatus.FULFILLED, 200, body, content_type)
         ended_ms = attempt.answered_ms or self.clock.now()  # of a large answer the first bytes count
         self.enqueue(
             AttemptEnded(
@@ -413,12 +415,12 @@
     def _refuse(self, action: Reject) -> None:
         request = self.open.get(action.id)
         if request is not None:
-            self._finish(request, THROTTLED, 503, retry_after_ms=action.retry_after_ms)
+            self._finish(request, FinalStatus.THROTTLED, 503, retry_after_ms=action.retry_after_ms)
 
     def _fail(self, action: Fail) -> None:
         request = self.open.get(action.id)
         if request is not None:
-            self._finish(request, FAULTED, 502)
+            self._finish(request, FinalStatus.FAULTED, 502)
 
     def _cancel(self, action: CancelAttempt) -> None:
         attempt = self.attempts.get((action.id, action.attempt))
@@ -433,7 +435,7 @@
 
     def _tell(self, action: SendGossip) -> None:
         if action.receiver != self.settings.number:
-            self.gossip_socket.tell(action.receiver, action.data)
+            self.gossip_socket.send(action.receiver, action.data)
         elif self.other is not None:
             self.other(action.receiver, action.data)
 
--- a/gateway/network/hot_restart.py
+++ b/gateway/network/hot_restart.py
@@ -204,7 +204,7 @@
     async def _open(self) -> None:
         """Serve on sockets of our own."""
         self._listener = bound(socket.SOCK_STREAM, self._config.listen, self._config.shares_addresses)
-        if self._gateway.gossip_socket.socket is None:
+        if self._gateway.gossip_socket.sock is None:
             self._gateway.gossip_socket.open(self._loop)
         await self._serve()
 
@@ -284,7 +284,7 @@
         text = json.dumps(state).encode()
         for start in range(0, len(text), PART):
             link.send(b"S" + text[start : start + PART])
-        socks = [sock for sock in (self._listener, self._gateway.gossip_socket.socket) if sock is not None]
+        socks = [sock for sock in (self._listener, self._gateway.gossip_socket.sock) if sock is not None]
         link.send(b"G", [os.dup(sock.fileno()) for sock in socks])
         self._gateway.hand_over_idle()
         log.info("another process of gateway %s serves now", self._config.name)
@@ -298,7 +298,7 @@
         transport.pause_reading()
         link.send(b"C", [os.dup(transport.get_extra_info("socket").fileno())])
         client.drop()
-        gateway.connections.left(client)
+        gateway.connections.remove(client)
 
     def _next_ended(self) -> None:
         """The process that follows has gone. Unless this one is to end as well, it serves again."""
--- a/gateway/network/metrics.py
+++ b/gateway/network/metrics.py
@@ -1,45 +1,58 @@
-"""What operators see of a gateway, in Prometheus' text form."""
+"""The metrics of a gateway, in Prometheus' text form. Their names and texts are the operators'."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from enum import Enum
 
 PREFIX = "edge_balancer"
-FULFILLED, THROTTLED, FAULTED = "fulfilled", "throttled", "faulted"
-KIND = b"text/plain; version=0.0.4; charset=utf-8"
+CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
+
+
+class FinalStatus(Enum):
+    """How a request ended."""
+
+    FULFILLED = "fulfilled"
+    THROTTLED = "throttled"
+    FAULTED = "faulted"
 
 
 class Metrics:
-    """The counters. They start at 0 with the process; gauges are read from the live tables when asked for."""
+    """The counters, which start at 0 with the process. Gauges are read from the live tables when asked."""
 
-    def __init__(self, classes: Iterable[str]) -> None:
-        statuses = (FULFILLED, THROTTLED, FAULTED)
-        self.operations = {(name, status): 0 for name in classes for status in statuses}
+    def __init__(self, class_names: Iterable[str]) -> None:
+        """Count requests by these classes."""
+        self.operations = {(name, status): 0 for name in class_names for status in FinalStatus}
         self.relayed = 0  # attempts written whole to endpoints
 
-    def ended(self, name: str, status: str) -> None:
-        """A request has had its one final answer."""
-        self.operations[name, status] += 1
+    def on_final_answer(self, class_name: str, status: FinalStatus) -> None:
+        """Count a request that has had its one final answer."""
+        self.operations[class_name, status] += 1
 
     def text(self, *, open_requests: int, registry_entries: int, out_of_rotation: int) -> bytes:
-        """All figures."""
+        """Return all metrics, with the gauges as they are told."""
         name = f"{PREFIX}_operations_total"
-        lines = [f"# HELP {name} Requests answered: served, refused or failed.", f"# TYPE {name} counter"]
-        lines += [
-            f'{name}{{priority="{escape(kind)}",status="{status}"}} {count}'
-            for (kind, status), count in self.operations.items()
+        lines = [
+            f"# HELP {name} Requests answered: served, refused or failed.",
+            f"# TYPE {name} counter",
+            *(
+                f'{name}{{priority="{escape(class_name)}",status="{status.value}"}} {count}'
+                for (class_name, status), count in self.operations.items()
+            ),
+            *_single("relayed_total", "counter", "Attempts written whole to workers.", self.relayed),
+            *_single("open_requests", "gauge", "Requests taken and not ended.", open_requests),
+            *_single("registry_entries", "gauge", "Workers in discovery's list.", registry_entries),
+            *_single("out_of_rotation", "gauge", "Listed workers that get nothing now.", out_of_rotation),
+            "",
         ]
-        for name, sort, told, value in (
-            ("relayed_total", "counter", "Attempts written whole to workers.", self.relayed),
-            ("open_requests", "gauge", "Requests taken and not ended.", open_requests),
-            ("registry_entries", "gauge", "Workers in discovery's list.", registry_entries),
-            ("out_of_rotation", "gauge", "Listed workers that get nothing now.", out_of_rotation),
-        ):
-            name = f"{PREFIX}_{name}"
-            lines += [f"# HELP {name} {told}", f"# TYPE {name} {sort}", f"{name} {value}"]
-        return "\n".join([*lines, ""]).encode()
+        return "\n".join(lines).encode()
 
 
 def escape(label: str) -> str:
-    """A label's value as the text form wants it."""
+    """Return a label's value as the text form wants it."""
     return label.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
+
+
+def _single(suffix: str, kind: str, help_text: str, value: int) -> list[str]:
+    name = f"{PREFIX}_{suffix}"
+    return [f"# HELP {name} {help_text}", f"# TYPE {name} {kind}", f"{name} {value}"]
--- a/gateway/network/protocols.py
+++ b/gateway/network/protocols.py
@@ -53,7 +53,7 @@
     """A client's connection, as the limiter of connections sees it."""
 
     message_started: bool
-    heard: bool
+    received_while_closing: bool
     head_ms: float
     closing_at_ms: float
     transport: asyncio.Transport | None
@@ -80,13 +80,13 @@
 class ConnectionTable(Protocol):
     """Where a client's connection is entered by what it waits for."""
 
-    def asked(self, client: Any) -> None:
+    def on_request_complete(self, client: Any) -> None:
         """Its request is whole."""
 
-    def left(self, client: Any) -> None:
+    def remove(self, client: Any) -> None:
         """It has ended, or another process has it."""
 
-    def leaves(self, client: Any, now: float) -> None:
+    def on_closing(self, client: Any, now: float) -> None:
         """It is being closed."""
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -146,8 +146,8 @@
 
     async def scenario():
         gateway = Gate(Script(), limits={"sockets": sockets}).gateway
-        rest = sockets - gateway.connections.hard - gateway.upstreams._max
+        rest = sockets - gateway.connections.max_admitted - gateway.upstreams._max
         assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + door.MOST + 3
-        assert sockets < 256 or gateway.connections.hard == int(0.46 * sockets)  # as before
+        assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)  # as before
 
     run(scenario())
--- a/tests/test_discovery_and_gossip.py
+++ b/tests/test_discovery_and_gossip.py
@@ -478,7 +478,7 @@
             peers.open(asyncio.get_running_loop())
             sock.sendto(b"news", (HOST, own))
             assert await heard.get() == (1023, b"news")
-            peers.tell(1023, b"more")
+            peers.send(1023, b"more")
             assert await asyncio.get_running_loop().sock_recv(sock, 300) == b"more"
             peers.close()
 
@@ -507,10 +507,10 @@
         peer.sendto(bytes(257), there)
         peer.sendto(b"hello", there)
         assert await heard.get() == (1, b"hello") and heard.empty()
-        peers.tell(1, bytes(257))  # too long: not sent
-        peers.tell(9, b"nobody")
-        peers.tell(-1, b"all")  # no such address in this configuration
-        peers.tell(1, b"back")
+        peers.send(1, bytes(257))  # too long: not sent
+        peers.send(9, b"nobody")
+        peers.send(-1, b"all")  # no such address in this configuration
+        peers.send(1, b"back")
         assert await loop.sock_recv(peer, 300) == b"back"
         peers.close()
         peer.close()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1019,7 +1019,7 @@
         refused = (await gate.client()).send(b"noise\r\n\r\n")
         assert (await refused.answer())[0] == 400
         for most, gone in ((4, refused), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
-            admission.most = most
+            admission.max_kept = most
             admission.make_room()
             if gone is not None:
                 assert await gone.ends() and len(admission) == most
@@ -1049,7 +1049,7 @@
             gate.gateway.drain()
             gate.gateway.close_idle()
         else:
-            gate.gateway.connections.most = 0
+            gate.gateway.connections.max_kept = 0
             gate.gateway.connections.make_room()
         _, writer = await worker.asked()
         writer.write(answer())
@@ -1088,7 +1088,7 @@
     async def scenario(worker, gate, client):
         admission = gate.gateway.connections
         await taken(gate, 1)
-        crowd = [await gate.client() for _ in range(admission.hard + 20)]
+        crowd = [await gate.client() for _ in range(admission.max_admitted + 20)]
         late = (await gate.client()).send(request())
         while True:  # at the very limit a new one is dropped, and comes again
             asked = asyncio.ensure_future(worker.asked())
@@ -1099,7 +1099,7 @@
             asked.cancel()
             late = (await gate.client()).send(request())
         gone.cancel()
-        assert len(admission) <= admission.hard and len(gate.gateway.open) == 1
+        assert len(admission) <= admission.max_admitted and len(gate.gateway.open) == 1
         for one in crowd:
             one.close()
 
@@ -1110,7 +1110,7 @@
     """Seen with clients that ask once and stay: they held all connections that clients may hold."""
 
     async def scenario(worker, gate, client):
-        gate.gateway.connections.idle_kept = 1
+        gate.gateway.connections.max_idle = 1
         first, second = client, await gate.client()
         for one in (first, second):
             one.send(request())
@@ -1132,7 +1132,7 @@
     """Seen: 128 that asked once came within 2 s and held all the connections that clients may hold."""
 
     async def scenario(worker, gate, client):
-        gate.gateway.connections.crowd = 1
+        gate.gateway.connections.crowd_size = 1
         other = await gate.client()
         for one in (client, other):
             one.send(request())
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -18,7 +18,8 @@
 )
 from gateway.network import upload as bodies
 from gateway.network import upstream as workers
-from gateway.network.connection_limiter import OWED_MS
+from gateway.network.connection_limiter import INPUT_TIMEOUT_MS
+from gateway.network.metrics import FinalStatus
 
 LARGE = 3 * bodies.MAX_BUFFERED
 
@@ -115,7 +116,7 @@
             await client.reader.readexactly(200_000)
         outcome = await gate.script.event(AttemptEnded)
         assert outcome.result is AttemptResult.RESET and outcome.final
-        assert gate.gateway.metrics.operations["look", "faulted"] == 1
+        assert gate.gateway.metrics.operations["look", FinalStatus.FAULTED] == 1
 
     at_gate(scenario)
 
@@ -322,7 +323,7 @@
         (one,) = gate.gateway.connections.all
         await until(lambda: one.body_size == 4 * per_s - 10 or one.body_size >= 190_000)
         gate.gateway.connections.sweep(gate.gateway.clock.now() + 4000, False)
-        assert one.ending is not stays and OWED_MS < 4000
+        assert one.ending is not stays and INPUT_TIMEOUT_MS < 4000
 
     at_gate(scenario)
 
