--- a/gateway/errors.py
+++ b/gateway/errors.py
@@ -18,3 +18,12 @@
 
 class ConfigError(GatewayError):
     """A configuration that can't be used; the text names what is wrong."""
+
+
+class BadRequestError(GatewayError, ValueError):
+    """A request that is turned away; the text names the part at fault."""
+
+    def __init__(self, text: str, status: int = 400) -> None:
+        """`status` is the answer's status code."""
+        super().__init__(text)
+        self.status = status
--- a/gateway/network/client_connection.py
+++ b/gateway/network/client_connection.py
@@ -8,8 +8,8 @@
 
 import httptools
 
+from gateway.errors import BadRequestError
 from gateway.network.protocols import RequestHandler, ResponseSource
-from gateway.network.request_parser import BadRequest
 from gateway.network.upload import MAX_BUFFERED, Upload
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
@@ -120,7 +120,8 @@
 
     def eof_received(self) -> None:
         """A client that ends its sending has gone away: the connection closes. What it has not read of an
-        earlier answer may hold up the end, but not the word of it."""
+        earlier answer may hold up the end, but not the word of it.
+        """
         request, self.request = self.request, None
         if request is not None:
             self.gateway.on_client_gone(request)
@@ -202,7 +203,7 @@
         self.body = bytearray()
         try:
             self.request = self.gateway.take(self)
-        except BadRequest as problem:
+        except BadRequestError as problem:
             self.bad = problem.status
 
     def hold(self, stopped: bool) -> None:
@@ -253,7 +254,7 @@
             return
         try:
             self.request = self.gateway.take(self)
-        except BadRequest as problem:
+        except BadRequestError as problem:
             self._turn_away(problem.status)
 
     def _tell_readiness(self) -> None:
@@ -264,7 +265,8 @@
 
     def _turn_away(self, status: int) -> None:
         """A whole request that is not in order. The error goes out at once and the connection may stay, but
-        for a while nothing is read from it: some ask the same again at full speed, and are as cheap so."""
+        for a while nothing is read from it: some ask the same again at full speed, and are as cheap so.
+        """
         if not self.keep or self.gateway.draining:
             self.bad = status
             return
@@ -369,7 +371,7 @@
             self.hold(False)
             return
         self._clear()
-        if pipelined or close and self.message_started:
+        if pipelined or (close and self.message_started):
             self._finish(b"")
         elif close:
             self._close()
@@ -435,7 +437,8 @@
 
     def is_disconnected(self) -> bool:
         """Whether the client has ended its sending, be it read here or not: while nothing is read, no event
-        will tell it."""
+        will tell it.
+        """
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if sock is None or self.transport.is_closing():  # type: ignore[union-attr]
             return False
@@ -445,7 +448,8 @@
 
     def close_if_idle(self) -> None:
         """Between requests a connection may be closed; not while one is open, coming in or here unread: that
-        one would be reset, and its client would have to come again."""
+        one would be reset, and its client would have to come again.
+        """
         if (
             self.request is None
             and not self.message_started
@@ -456,7 +460,8 @@
 
     def is_slow(self, now: float, spare_ms: float, per_ms: float) -> bool:
         """Whether less has come of a body than so much for each millisecond since its head, with some time to
-        spare. While it is not read here, the delay is ours."""
+        spare. While it is not read here, the delay is ours.
+        """
         return not self.held_ms and now - self.head_ms > spare_ms + self.body_size / per_ms
 
     def on_input_timeout(self) -> None:
--- a/gateway/network/discovery.py
+++ b/gateway/network/discovery.py
@@ -1,7 +1,8 @@
 """Discovery: a list to begin with, then a watch for changes, for as long as the gateway runs.
 
 Where lists are pushed, the address is taken for an agent's of this gateway's own, which answers at once
-and at no cost; where they are asked for, or callers are turned away, for one service of the whole fleet."""
+and at no cost; where they are asked for, or callers are turned away, for one service of the whole fleet.
+"""
 
 from __future__ import annotations
 
@@ -83,7 +84,8 @@
     waiting for the sake of others gains nothing and is paid for with an old list.
 
     Chance spreads the first calls after a failure over the time there is. Those after them come at about the
-    end of it: that keeps the gateways apart, and makes the fewest calls."""
+    end of it: that keeps the gateways apart, and makes the fewest calls.
+    """
 
     def __init__(
         self, fleet: int, rng: random.Random, *, alone: bool = False, most_wait_s: float = MAX_WAIT_S
@@ -149,7 +151,8 @@
 
     async def run(self) -> None:
         """Watch until cancelled, anew whenever the address moves: whatever is under way at the old one, be
-        it a call, a connection that does not come up or a wait, is dropped at once."""
+        it a call, a connection that does not come up or a wait, is dropped at once.
+        """
         while True:
             self._moved.clear()
             watch, moved = asyncio.create_task(self._watch()), asyncio.create_task(self._moved.wait())
@@ -209,7 +212,7 @@
                     # first to be refused. Where it refuses again, it serves nobody sooner for being called
                     # more. And a watch lasts for long, but a break tells its end.
                     took_s, silent = loop.time() - asked_s, isinstance(problem, DiscoveryTimeout)
-                    late = silent or not refused and took_s <= CALL_TIMEOUT_S
+                    late = silent or (not refused and took_s <= CALL_TIMEOUT_S)
                     refused = not silent
                     await asyncio.sleep(self._pace.after_failure_s(took_s if late else 0.0))
         finally:
@@ -223,7 +226,8 @@
 
     def _as_told_before(self, endpoint_list: EndpointList) -> EndpointList:
         """A whole list that is older than what has been told, as another address may have it, says nothing of
-        what has come since: an endpoint that wanted nothing new by then is not ready again by it."""
+        what has come since: an endpoint that wanted nothing new by then is not ready again by it.
+        """
         now = asyncio.get_running_loop().time()
         if endpoint_list.is_snapshot and endpoint_list.index < self._newest:
             endpoint_list = replace(
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -1,7 +1,8 @@
 """The gateway: what happens becomes events, the controller decides, and its actions are carried out.
 
 Everything that happens in one turn of the loop goes to the controller in one call. The table of open requests
-is kept here: a request is in it from its last byte until its one final answer."""
+is kept here: a request is in it from its last byte until its one final answer.
+"""
 
 from __future__ import annotations
 
@@ -15,6 +16,7 @@
 from gateway.config import Config, EndpointList
 from gateway.engine import hot_restart
 from gateway.engine.controller import Controller
+from gateway.errors import BadRequestError
 from gateway.model.actions import (
     Action,
     CancelAttempt,
@@ -47,7 +49,7 @@
 from gateway.network.gossip_socket import GossipSocket
 from gateway.network.metrics import FinalStatus, Metrics
 from gateway.network.protocols import LimitedConnection
-from gateway.network.request_parser import BadRequest, RequestParser
+from gateway.network.request_parser import RequestParser
 from gateway.network.upstream import UpstreamAttempt, UpstreamConnection, UpstreamPool
 
 MARGIN_MS = 20.0  # the controller is told a deadline so much earlier: the wire and our timers take their time
@@ -70,17 +72,17 @@
     """An open request."""
 
     __slots__ = (
-        "id",
-        "name",
+        "body",
         "class_name",
         "client",
+        "guard",
+        "id",
         "message",
-        "body",
+        "name",
+        "passing",
+        "sends",
         "upload",
         "wait_ms",
-        "sends",
-        "passing",
-        "guard",
     )
 
     def __init__(
@@ -237,13 +239,14 @@
 
     def take(self, client: ClientConnection) -> Request:
         """A request has come in, whole or with the rest of a large body to come: from its last byte on it is
-        owed one final answer."""
+        owed one final answer.
+        """
         now, headers, method = self.clock.now(), client.headers, client.parser.get_method()
         upload = client.upload
         form = self.request_parser.read(method, client.url, headers, bool(client.body) or upload is not None)
         # One id is one request: a second of that name, of whomever, would pass for a copy of the first.
         if form.id in self._names or form.id in self._ended_names[0] or form.id in self._ended_names[1]:
-            raise BadRequest("x-request-id is in use", 409)
+            raise BadRequestError("x-request-id is in use", 409)
         body = bytes(client.body)
         parts = [method, b" ", client.url, b" HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: ", form.id]
         if form.key is not None:
@@ -302,7 +305,8 @@
         """Take a request off the table; False if it has had its final answer before.
 
         What was sent of it runs on, until it is called off or answered. An attempt that is not whole at its
-        endpoint ends here: it would begin for nobody."""
+        endpoint ends here: it would begin for nobody.
+        """
         if self.open.pop(request.id, None) is None:
             return False
         self._names.discard(request.name)
@@ -525,7 +529,8 @@
 
     def finishes(self) -> bool:
         """Whether anything taken is not answered, or not yet written out; new idle connections close, or
-        are handed over."""
+        are handed over.
+        """
         self.hand_over_idle()
         self.close_idle()
         return self.has_open_work()
--- a/gateway/network/hot_restart.py
+++ b/gateway/network/hot_restart.py
@@ -2,7 +2,8 @@
 
 They talk over a Unix socket in $TMPDIR, in packets whose first byte says what they are. The new process asks
 for the service (T). The old one answers with its state (S, in parts) and the listening sockets (G), then with
-each client's connection on which nothing is open (C). Messages of peers go either way (H)."""
+each client's connection on which nothing is open (C). Messages of peers go either way (H).
+"""
 
 from __future__ import annotations
 
@@ -167,7 +168,8 @@
             os.close(fd)
 
     def _succeed(self, fds: list[int]) -> None:
-        assert self._before is not None and self._answer is not None
+        assert self._before is not None
+        assert self._answer is not None
         try:
             state = json.loads(self._state)
             socks = [socket.socket(fileno=fd) for fd in fds]
@@ -292,7 +294,8 @@
     @staticmethod
     def _move(link: ProcessLink, gateway: Gateway, client: LimitedConnection) -> None:
         """The other process goes on with the connection. Nothing of it has been read here, and nothing more
-        will be: what the client sends meanwhile waits in the system for the other one."""
+        will be: what the client sends meanwhile waits in the system for the other one.
+        """
         transport = client.transport
         assert transport is not None
         transport.pause_reading()
@@ -312,7 +315,8 @@
 
     async def close(self) -> None:
         """Accept nothing more than what waits in the queue: with the socket it would be reset, and with it
-        the requests that may have been written to it."""
+        the requests that may have been written to it.
+        """
         self._stop_accepting()
         if self._listener is None:
             return
--- a/gateway/network/protocols.py
+++ b/gateway/network/protocols.py
@@ -118,7 +118,7 @@
         """Nobody waits for a request any more."""
 
     def take(self, client: Any) -> Any:
-        """Open a request; raises BadRequest."""
+        """Open a request; raises BadRequestError."""
 
     def parted(self, request: Any) -> None:
         """A part of a request's body is no longer held."""
--- a/gateway/network/request_parser.py
+++ b/gateway/network/request_parser.py
@@ -8,6 +8,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
+from gateway.errors import BadRequestError
 from gateway.model.settings import Idempotency, RequestClass, Settings
 
 MOST_CUSTOMER = 1 << 33  # a customer is a number below
@@ -17,14 +18,6 @@
 _KEY = re.compile(rb"[!-~]{1,128}")
 
 
-class BadRequest(ValueError):
-    """A request that is turned away; the text names the part at fault."""
-
-    def __init__(self, text: str, status: int = 400) -> None:
-        super().__init__(text)
-        self.status = status
-
-
 class ParsedRequest(NamedTuple):
     """What a request says of itself."""
 
@@ -54,30 +47,30 @@
     def read(
         self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool
     ) -> ParsedRequest:
-        """The form of a whole request; raises BadRequest."""
+        """The form of a whole request; raises BadRequestError."""
         if not target.startswith(b"/"):
-            raise BadRequest("the target is no path")
+            raise BadRequestError("the target is no path")
         kind = self._kinds.get(target[1:].partition(b"?")[0].partition(b"/")[0])
         if kind is None:
-            raise BadRequest("there is no such class", 404)
+            raise BadRequestError("there is no such class", 404)
         if method != (b"GET" if kind.idempotency is Idempotency.IDEMPOTENT else b"POST"):
-            raise BadRequest("the class has another method", 405)
+            raise BadRequestError("the class has another method", 405)
         if has_body and method == b"GET":
-            raise BadRequest("a GET with a body")
+            raise BadRequestError("a GET with a body")
         key = headers.get(b"idempotency-key")
         if kind.idempotency is Idempotency.WITH_KEY:
             if key is None or not _KEY.fullmatch(key):
-                raise BadRequest("idempotency-key is missing or malformed")
+                raise BadRequestError("idempotency-key is missing or malformed")
         elif key is not None:
-            raise BadRequest("idempotency-key on a class that has none")
+            raise BadRequestError("idempotency-key on a class that has none")
         request_id, customer = header(headers, b"x-request-id"), header(headers, b"x-api-key")
         if not _ID.fullmatch(request_id):
-            raise BadRequest("x-request-id is malformed")
+            raise BadRequestError("x-request-id is malformed")
         if not _CUSTOMER.fullmatch(customer) or int(customer, 16) >= MOST_CUSTOMER:
-            raise BadRequest("x-api-key is no customer")
+            raise BadRequestError("x-api-key is no customer")
         plan = self._plans.get(header(headers, b"x-tier"))
         if plan is None:
-            raise BadRequest("there is no such plan")
+            raise BadRequestError("there is no such plan")
         wait_ms = whole_number(header(headers, b"x-deadline-ms"), 1)
         units, spread, first = self._terms(header(headers, b"x-call-terms"))
         # Nobody is kept waiting for longer than the class allows, however long the client would.
@@ -98,7 +91,7 @@
 def whole_number(text: bytes, least: int, most: float = math.inf) -> int:
     """A whole number in plain digits, within bounds."""
     if not text.isdigit() or len(text) > 15 or not least <= int(text) <= most:
-        raise BadRequest(f"{text[:20]!r} is out of place")
+        raise BadRequestError(f"{text[:20]!r} is out of place")
     return int(text)
 
 
@@ -108,12 +101,12 @@
     for part in text.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name in terms:
-            raise BadRequest("X-Call-Terms names a thing twice")
+            raise BadRequestError("X-Call-Terms names a thing twice")
         terms[name] = value
     if not terms.keys() >= {b"units", b"spread", b"first"}:
-        raise BadRequest("X-Call-Terms cannot be read")
+        raise BadRequestError("X-Call-Terms cannot be read")
     if not _NUMBER.fullmatch(terms[b"units"]) or not 0 < float(terms[b"units"]) <= most_units:
-        raise BadRequest("units are out of range")
+        raise BadRequestError("units are out of range")
     return (
         float(terms[b"units"]),
         whole_number(terms[b"spread"], 1, gateways),
@@ -125,5 +118,5 @@
     """A header that must be there."""
     value = headers.get(name)
     if not value:
-        raise BadRequest(f"{name.decode()} is missing")
+        raise BadRequestError(f"{name.decode()} is missing")
     return value
--- a/gateway/network/upstream.py
+++ b/gateway/network/upstream.py
@@ -47,24 +47,25 @@
 class UpstreamAttempt:
     """One request on its way to one endpoint; ends once, with `done(attempt, result, body, type, load)`.
 
-    An answer too large to be held goes to the client that `begin` names, as it comes."""
+    An answer too large to be held goes to the client that `begin` names, as it comes.
+    """
 
     __slots__ = (
-        "request_id",
-        "number",
-        "endpoint_id",
-        "message",
-        "upload",
-        "started_ms",
+        "alarm",
         "answered_ms",
-        "done",
         "begin",
-        "send_by_ms",
-        "connection",
         "connect_task",
-        "alarm",
         "connect_timer",
+        "connection",
+        "done",
+        "endpoint_id",
+        "message",
+        "number",
+        "request_id",
+        "send_by_ms",
         "send_by_timer",
+        "started_ms",
+        "upload",
     )
 
     def __init__(
@@ -159,7 +160,8 @@
 
     def pause_writing(self) -> None:
         """A large request is not out: should the connection break now, the endpoint never had it whole. The
-        loop tells it at the end of the turn in which it was written."""
+        loop tells it at the end of the turn in which it was written.
+        """
         self.blocked, self.last_progress_ms = True, self.pool.clock.now()
         if not self.is_unsent:
             self.is_unsent = True
@@ -215,7 +217,7 @@
             self.pipelined = True
         if self.complete and not self.too_large:
             self._answered()
-        elif self.too_large or self.in_head and self.head_size > MAX_HEAD:
+        elif self.too_large or (self.in_head and self.head_size > MAX_HEAD):
             self._fault(AttemptResult.ERROR)
 
     def eof_received(self) -> None:
@@ -226,7 +228,8 @@
 
     def is_reset(self) -> bool:
         """Whether the end that was told is a reset. Where one comes close behind the last bytes, the loop
-        reads these, sees that there is no more, and calls it an end; the error waits for who reads next."""
+        reads these, sees that there is no more, and calls it an end; the error waits for who reads next.
+        """
         try:
             sock = self.transport.get_extra_info("socket")  # type: ignore[union-attr]
             return os.read(sock.fileno(), 1) != b""
@@ -306,7 +309,8 @@
 
     def is_quiet(self) -> bool:
         """Whether nothing waits on the connection: bytes, or its end. The loop may not have read them yet,
-        and once a request is out they would be taken for its answer, or for a reset that may have run."""
+        and once a request is out they would be taken for its answer, or for a reset that may have run.
+        """
         watched = select.poll()
         watched.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)  # type: ignore
         return not watched.poll(0)
@@ -386,7 +390,7 @@
 class Upstream:
     """One process of an endpoint, as discovery lists it, with our connections to it."""
 
-    __slots__ = ("entry", "idle", "connections", "connecting")
+    __slots__ = ("connecting", "connections", "entry", "idle")
 
     def __init__(self, entry: EndpointEntry) -> None:
         self.entry = entry
@@ -445,7 +449,8 @@
 
         The answer is those that are gone though the list does not say so yet: a new endpoint has their
         address,
-        and what was sent to them would come to it, cold as it is."""
+        and what was sent to them would come to it, cold as it is.
+        """
         if endpoint_list.is_snapshot:
             listed = {entry.endpoint.id for entry in endpoint_list.entries}
             for name in [name for name in self._known if name not in listed]:
@@ -531,7 +536,8 @@
 
     def _kept(self, upstream: Upstream, now: float) -> UpstreamConnection | None:
         """The kept connection used last that has rested and on which nothing waits. Where something does, it
-        is closed."""
+        is closed.
+        """
         for connection in [
             one for one in reversed(upstream.idle) if now - one.idle_since_ms >= REUSE_DELAY_MS
         ]:
--- a/gateway/policy/attempts.py
+++ b/gateway/policy/attempts.py
@@ -76,9 +76,10 @@
         """Send second copies of idempotent requests whose only endpoint, now withdrawn, may be dead."""
         for request in requests:
             is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
-            if is_idempotent and len(request.in_flight) == 1 and not request.is_streaming:
-                if next(iter(request.in_flight.values())) in withdrawn:
-                    self.retry(request)
+            endpoints = list(request.in_flight.values())
+            is_at_risk = len(endpoints) == 1 and endpoints[0] in withdrawn
+            if is_at_risk and is_idempotent and not request.is_streaming:
+                self.retry(request)
 
     def schedule_hedge(self, request: RequestRecord) -> None:
         """Plan to look at a request again when its attempt has taken too long."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, status",
+    ("data", "status"),
     [
         (b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n", 200),
         (b"GET /_ready?x=1 HTTP/1.1\r\nHost: h\r\n\r\n", 200),
@@ -98,10 +98,8 @@
     """Sends the first of every three requests on, refuses the second and fails the third."""
 
     def handle(self, now, events):
-        actions = []
-        for event in events:
-            if isinstance(event, RequestArrived) and event.id % 3:
-                actions.append(Reject(event.id) if event.id % 3 == 2 else Fail(event.id))
+        own = [event for event in events if isinstance(event, RequestArrived) and event.id % 3]
+        actions = [Reject(event.id) if event.id % 3 == 2 else Fail(event.id) for event in own]
         return actions + super().handle(
             now, [one for one in events if not isinstance(one, RequestArrived) or one.id % 3 == 0]
         )
@@ -136,7 +134,7 @@
     assert config_from(config(), {}).control is None
     assert config_from(config(control=f"{HOST}:9100"), {}).control == (HOST, 9100)
     assert config_from(config(), {"BALANCER_CONTROL": f"{HOST}:9101"}).control == (HOST, 9101)
-    with pytest.raises(ValueError, match="config.control"):
+    with pytest.raises(ValueError, match=r"config\.control"):
         config_from(config(control="door"), {})
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -184,14 +184,12 @@
 async def receive(loop, link):
     """One packet and its descriptors."""
     while True:
-        try:
-            data, descriptors, _, _ = socket.recv_fds(link, 64 * 1024, 4)
-            return data, descriptors
-        except BlockingIOError:
-            readable = loop.create_future()
-            loop.add_reader(link, readable.set_result, None)
-            await readable
-            loop.remove_reader(link)
+        with contextlib.suppress(BlockingIOError):
+            return socket.recv_fds(link, 64 * 1024, 4)[:2]
+        readable = loop.create_future()
+        loop.add_reader(link, readable.set_result, None)
+        await readable
+        loop.remove_reader(link)
 
 
 def at_process(tmp_path, scenario, **more):
--- a/tests/test_discovery_and_gossip.py
+++ b/tests/test_discovery_and_gossip.py
@@ -3,6 +3,7 @@
 import asyncio
 import bisect
 import contextlib
+import itertools
 import json
 import random
 import socket
@@ -177,7 +178,7 @@
 }
 
 
-@pytest.mark.parametrize("fleet", (1, 3, 40, 230))
+@pytest.mark.parametrize("fleet", [1, 3, 40, 230])
 def test_a_fleet_that_is_turned_away_does_not_come_again_all_at_once(fleet, monkeypatch):
     """Seen in a fleet of 40: discovery served 2 to 7 calls a second and turned away who had waited for 2 s;
     13 calls a second kept it so for 30 s. Here all have had a list, and 0.5 s later none is served any more:
@@ -188,7 +189,7 @@
 
     gateways = [calls_of(monkeypatch, call, fleet=fleet, seed=seed)[0][1:-1] for seed in range(fleet)]
     assert len({one[1] for one in gateways}) == fleet
-    gaps = [b - a for one in gateways for a, b in zip(one, one[1:], strict=False)]
+    gaps = [b - a for one in gateways for a, b in itertools.pairwise(one)]
     if fleet <= 3:  # as ever: at once, and then at least every 0.75 s
         assert max(gaps) <= 0.75
     else:
@@ -199,7 +200,7 @@
         assert len(in_all) <= fleet * 30 / 3.0
 
 
-@pytest.mark.parametrize("fleet", (1, 40, 230))
+@pytest.mark.parametrize("fleet", [1, 40, 230])
 def test_the_first_call_that_is_turned_away_counts_from_its_beginning(fleet, monkeypatch):
     """Discovery is back while it waits for its turn, has none for it after 2 s, and has one for the next."""
     for seed in range(0, fleet, max(1, fleet // 40)):
@@ -218,8 +219,8 @@
 
 
 @pytest.mark.parametrize("failure", FAILURES)
-@pytest.mark.parametrize("pushed", (True, False))
-@pytest.mark.parametrize("fleet", (1, 40, 230))
+@pytest.mark.parametrize("pushed", [True, False])
+@pytest.mark.parametrize("fleet", [1, 40, 230])
 def test_what_discovery_has_is_applied_6_s_after_it_can_be_reached(fleet, pushed, failure, monkeypatch):
     """Whatever the calls before came to, and however long discovery takes for its turn: 2 s at most. In a
     fleet of 230 the wait after a call that was turned away was up to 180 s."""
@@ -242,8 +243,8 @@
         assert answered[1] <= max(back_s + 6.0, silent_s + 2.0 + 2.2 * (not pushed)), (seed, back_s, begun_s)
 
 
-@pytest.mark.parametrize("fleet", (1, 3, 40, 200))
-@pytest.mark.parametrize("grace_s", (0.0, 0.25, 2.0))
+@pytest.mark.parametrize("fleet", [1, 3, 40, 200])
+@pytest.mark.parametrize("grace_s", [0.0, 0.25, 2.0])
 def test_where_lists_are_pushed_a_broken_watch_is_open_again_within_the_grace(fleet, grace_s, monkeypatch):
     """Seen in a fleet of 200: a watch that fell silent was given up after 41 s and opened anew up to 150 s
     later. What an agent on the own machine has counts as told, so nobody waits for the others there."""
@@ -297,7 +298,7 @@
     assert sum(first) < 0.7 * sum(later) and max(first) < 2.3 and max(later) <= 3.5
 
 
-@pytest.mark.parametrize("reply", (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", None))
+@pytest.mark.parametrize("reply", [b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", None])
 def test_after_a_failure_the_first_call_is_short(reply):
     """One that may wait for news could hang for 41 s before that is noticed."""
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -34,9 +34,11 @@
     """Run a scenario with one worker, w1, one gatekeeper and one client."""
 
     async def whole():
-        async with FakeWorker() as worker:
-            async with Gate(Script(**script), known=[entry("w1", worker.port)]) as gate:
-                await scenario(worker, gate, await gate.client())
+        async with (
+            FakeWorker() as worker,
+            Gate(Script(**script), known=[entry("w1", worker.port)]) as gate,
+        ):
+            await scenario(worker, gate, await gate.client())
 
     run(whole())
 
@@ -86,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    "reply, result",
+    ("reply", "result"),
     [
         (answer(500), AttemptResult.ERROR),
         (answer(503), AttemptResult.ERROR),
@@ -116,8 +118,8 @@
     one_worker(scenario)
 
 
-@pytest.mark.parametrize("ends", ("in order", "reset"))
-@pytest.mark.parametrize("size", (6, 40_000))
+@pytest.mark.parametrize("ends", ["in order", "reset"])
+@pytest.mark.parametrize("size", [6, 40_000])
 def test_an_answer_without_a_length_that_is_reset_close_behind_its_bytes_is_not_whole(size, ends):
     """Seen on split+brink of brevik-ferries, seed 55: answered with 200 and what had come of the answer."""
 
@@ -616,7 +618,7 @@
     return opened, go
 
 
-@pytest.mark.parametrize("end", ("the client leaves", "the guard answers", "another copy answers"))
+@pytest.mark.parametrize("end", ["the client leaves", "the guard answers", "another copy answers"])
 def test_an_attempt_that_waits_for_a_connection_ends_with_its_request(end):
     """Where calling off is not allowed, or the guard answered in the module's place, it went out once the
     connection was up, for a client that had left."""
@@ -672,7 +674,7 @@
     return gate.script.send_by_ms
 
 
-@pytest.mark.parametrize("comes_up", (True, False))
+@pytest.mark.parametrize("comes_up", [True, False])
 def test_an_attempt_whose_time_to_be_out_passes_while_it_waits_for_a_connection_is_not_written(comes_up):
     """Seen on zone+brink+mass, seed 53: a keyed request was sent again 47 ms before the end of its window,
     its connection came up 188 ms later, and it was written all the same."""
@@ -707,7 +709,7 @@
     one_worker(scenario)
 
 
-@pytest.mark.parametrize("blocked, result", ((True, AttemptResult.NOT_SENT), (False, AttemptResult.OK)))
+@pytest.mark.parametrize(("blocked", "result"), [(True, AttemptResult.NOT_SENT), (False, AttemptResult.OK)])
 def test_a_request_is_broken_off_when_its_time_to_be_out_passes_before_its_last_byte(blocked, result):
     async def scenario(worker, gate, client):
         limit(gate, 200)
@@ -951,7 +953,7 @@
 
 
 @pytest.mark.parametrize(
-    "said, status",
+    ("said", "status"),
     [
         (b"", None),
         (b"\r\n\r\n\r\n", None),
@@ -1035,8 +1037,8 @@
         pass
 
 
-@pytest.mark.parametrize("close", ("at the end", "in a crowd"))
-@pytest.mark.parametrize("asked_before", (True, False))
+@pytest.mark.parametrize("close", ["at the end", "in a crowd"])
+@pytest.mark.parametrize("asked_before", [True, False])
 def test_a_connection_with_a_request_that_is_not_read_yet_is_not_closed(close, asked_before):
     async def scenario(worker, gate, client):
         if asked_before:
@@ -1194,7 +1196,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, name",
+    ("change", "name"),
     [
         ({"listen": "here"}, "config.listen"),
         ({"seed": "xyz"}, "config.seed"),
@@ -1238,12 +1240,11 @@
     """The one scenario with the real module: arrival, quota, choice of worker, answer."""
 
     async def scenario():
-        async with FakeWorker() as worker:
-            async with Gate(known=[entry("w1", worker.port)]) as gate:
-                client = await Client().open(gate.port)
-                client.send(request())
-                _, writer = await worker.asked()
-                writer.write(answer())
-                assert (await client.answer())[::2] == (200, b"done")
+        async with FakeWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
+            client = await Client().open(gate.port)
+            client.send(request())
+            _, writer = await worker.asked()
+            writer.write(answer())
+            assert (await client.answer())[::2] == (200, b"done")
 
     run(scenario())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,5 +1,6 @@
 """The module alone: odd but legal rounds, settings that cannot be right, and one test a failure found."""
 
+import itertools
 import math
 import random
 from dataclasses import replace
@@ -113,7 +114,7 @@
     )
 
 
-@pytest.mark.parametrize("after_ms, harmless", ((100, True), (1100, False)))
+@pytest.mark.parametrize(("after_ms", "harmless"), [(100, True), (1100, False)])
 def test_a_keyed_request_that_may_have_run_is_refused_only_while_it_is_known(after_ms, harmless):
     """Reset long after it was sent it was answered with 503, come again, though no server knew it any more.
     Its window is of 1200 ms, and clients are told to wait for 250 ms."""
@@ -123,7 +124,7 @@
     assert (len(of(Reject, actions)), len(of(Fail, actions))) == (harmless, not harmless)
 
 
-@pytest.mark.parametrize("name, moved", (("hold", ("z1", 0)), ("book", ("z0", 2))))
+@pytest.mark.parametrize(("name", "moved"), [("hold", ("z1", 0)), ("book", ("z0", 2))])
 def test_a_repeat_stays_where_its_endpoint_was_when_it_was_sent(name, moved):
     c, (zone, cell) = gateway(), moved
     first = Endpoint("a", "z0", 0, EndpointState.READY)
@@ -243,7 +244,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad, key",
+    ("bad", "key"),
     [
         (dict(classes=()), "classes"),
         (dict(plans=()), "plans"),
@@ -331,7 +332,7 @@
     assert sent[0].id == 501
 
 
-@pytest.mark.parametrize("gateways", (1, 3, 40))
+@pytest.mark.parametrize("gateways", [1, 3, 40])
 def test_scatter_of_a_small_part_holds_no_more_back_than_that_of_a_whole(gateways):
     """Seen in a fleet of 40 gateways and 60 servers: a part of 6 was full while the fleet's cap was not.
     Drawn here: counts of a fleet at four fifths of its cap of 240, evenly spread, and how many lack room."""
@@ -548,7 +549,7 @@
     assert sent.count("s1") < len(sent) / 15
 
 
-@pytest.mark.parametrize("gateways", (1, 3, 40))
+@pytest.mark.parametrize("gateways", [1, 3, 40])
 def test_a_ceiling_holds_however_often_its_quota_leader_starts_anew(gateways):
     """Lives of a second, each after one at rest that lent the whole quota at once: units sent on against a
     store that fills all the while. In its first it may lend what the ceiling holds beyond the quota's."""
@@ -636,13 +637,13 @@
     ]
 
 
-@pytest.mark.parametrize("gateways", (1, 3, GATEWAYS_PER_ENDPOINT))
+@pytest.mark.parametrize("gateways", [1, 3, GATEWAYS_PER_ENDPOINT])
 def test_few_gateways_send_to_all_endpoints(gateways):
     servers = backends(60)
     assert all(part is servers for part in parts(gateways, servers))
 
 
-@pytest.mark.parametrize(("gateways", "count"), ((40, 60), (40, 36), (40, 7), (16, 60), (47, 53), (300, 60)))
+@pytest.mark.parametrize(("gateways", "count"), [(40, 60), (40, 36), (40, 7), (16, 60), (47, 53), (300, 60)])
 def test_the_gateways_of_a_large_fleet_share_out_its_endpoints_evenly(gateways, count):
     servers = backends(count)
     shares = parts(gateways, servers)
@@ -655,7 +656,7 @@
         assert abs(sum(one.entry.zone == "z0" for one in part) - len(part) / 2) <= 1.5
     if count == 60 and gateways == 40:  # gateways in a row have most of the same customers
         ids = [{*map(id, part)} for part in shares]
-        assert all(len(a & b) < GATEWAYS_PER_ENDPOINT for a, b in zip(ids, ids[1:], strict=False))
+        assert all(len(a & b) < GATEWAYS_PER_ENDPOINT for a, b in itertools.pairwise(ids))
 
 
 def test_an_endpoint_that_leaves_moves_the_parts_by_little():
@@ -752,10 +753,9 @@
 
 def test_four_pressed_gateways_leave_room_in_each_others_inboxes():
     """Seen in service: each took in 40 messages a second and was sent 48, so that one in six was lost."""
-    c, told, serial = gateway(gateways=4, number=0, gossip_inbox_per_s=40), [], 0
+    c, told = gateway(gateways=4, number=0, gossip_inbox_per_s=40), []
     c.handle(1000, [SIX_ENDPOINTS])
-    for now in range(1005, 6000, 5):
-        serial += 1
+    for serial, now in enumerate(range(1005, 6000, 5), 1):
         events = [
             RequestArrived(serial, f"c{serial}", "look", "rated", now + 1500.0, 1, 0, 4),
             TimerFired("agenda"),
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -198,7 +198,7 @@
         os.close(log)
 
 
-@pytest.mark.parametrize("signals", ((signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM)))
+@pytest.mark.parametrize("signals", [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM)])
 def test_signals_during_the_start_are_taken_up_once_it_is_up(tmp_path, signals):
     """Discovery has been called and says nothing, so it is not ready when they come."""
 
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, name",
+    ("text", "name"),
     [(None, "cannot read"), ("{", "config.json"), ("[]", "config"), ('{"seed":"1"}', "settings")],
 )
 def test_a_configuration_that_cannot_be_used_ends_it_with_one_line(tmp_path, text, name):
@@ -301,8 +301,8 @@
     return value
 
 
-@pytest.mark.parametrize("discovery", ("automatic", "subscribe"))
-@pytest.mark.parametrize("trouble", ("silent", "down", "turns away", "breaks off"))
+@pytest.mark.parametrize("discovery", ["automatic", "subscribe"])
+@pytest.mark.parametrize("trouble", ["silent", "down", "turns away", "breaks off"])
 def test_in_a_large_fleet_it_is_up_in_time_whatever_discovery_does_and_serves_the_known_list(
     tmp_path, trouble, discovery
 ):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -159,7 +159,7 @@
         self.inbox = {n: [] for n in range(gateways)}
         self.fleet = [Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(8)]
         self.learned = {n: {} for n in range(gateways)}
-        self.life = {n: 0 for n in range(gateways)}
+        self.life = dict.fromkeys(range(gateways), 0)
         self.gateways, self.tries, self.streams = {}, {}, set()
         self.cold_sent = {}
         for n in range(gateways):
@@ -514,8 +514,8 @@
     return beyond
 
 
-@pytest.mark.parametrize("gateways", (1, 3, 30, 230))
-@pytest.mark.parametrize("warm, known", ((19, True), (8, True), (8, False), (0, True), (0, False)))
+@pytest.mark.parametrize("gateways", [1, 3, 30, 230])
+@pytest.mark.parametrize(("warm", "known"), [(19, True), (8, True), (8, False), (0, True), (0, False)])
 def test_the_sum_of_all_gateways_does_not_push_a_cold_endpoint_over(gateways, warm, known):
     """Where all servers were cold, gateways that had just started sent them all there was, and requests that
     were held tried for a cold server once a second each."""
@@ -592,7 +592,7 @@
     return beyond / sent, refused / quiet
 
 
-@pytest.mark.parametrize("gateways", (3, 40, 200))
+@pytest.mark.parametrize("gateways", [3, 40, 200])
 def test_quotas_hold_for_the_fleet(gateways):
     """A policy that sees late lets some units of a hundred through beyond them, and counts as the measure."""
     beyond, refused = beyond_quotas(gateways, seed=gateways)
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, names",
+    ("line", "names"),
     [
         ("REQUEST\t5\t0\t2\t1\tsoon\t0\tff\tlook\tbasic", ("REQUEST", "dueMs")),
         ("REQUEST\t5\t0", ("REQUEST", "fields")),
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    "path, value, name",
+    ("path", "value", "name"),
     [
         (("balancers",), None, "balancers"),
         (("rules", "coldFrom"), None, "coldFrom"),
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -270,7 +270,7 @@
 
 
 @pytest.mark.parametrize(
-    "length, text", [(4, b"head\r\n\r\nbody"), (None, b"head\r\n\r\n4\r\nbody\r\n0\r\n\r\n")]
+    ("length", "text"), [(4, b"head\r\n\r\nbody"), (None, b"head\r\n\r\n4\r\nbody\r\n0\r\n\r\n")]
 )
 def test_a_body_that_was_whole_before_its_endpoint_goes_to_one_endpoint_alone(length, text):
     """It was not said to be gone: a further attempt went out with its head and nothing of its body."""
@@ -315,7 +315,7 @@
     at_gate(scenario)
 
 
-@pytest.mark.parametrize("per_s, stays", [(64_000, True), (8_000, False)])
+@pytest.mark.parametrize(("per_s", "stays"), [(64_000, True), (8_000, False)])
 def test_a_body_may_come_slowly_but_must_come(per_s, stays):
     async def scenario(worker, gate, client):
         client.send(upload(200_000) + bytes(4 * per_s - 10))
--- a/tools/standins.py
+++ b/tools/standins.py
@@ -41,7 +41,7 @@
 
     protocol_version = "HTTP/1.1"
 
-    def log_message(self, format: str, *args: object) -> None:  # noqa: A002 - the base class names it
+    def log_message(self, format: str, *args: object) -> None:
         """Log nothing."""
 
     def answer(self, body: bytes) -> None:
@@ -55,7 +55,7 @@
 class Endpoint(Quiet):
     """Answers every request."""
 
-    def do_GET(self) -> None:  # noqa: N802 - the base class names it
+    def do_GET(self) -> None:
         """Answer."""
         self.answer(b"hello from the endpoint\n")
 
@@ -75,10 +75,10 @@
     class Discovery(Quiet):
         """Answers with the snapshot, and to a watch with no change."""
 
-        def do_GET(self) -> None:  # noqa: N802 - the base class names it
+        def do_GET(self) -> None:
             """Answer a poll or a watch."""
             is_watch = "since=" in self.path
-            if is_watch and "timeout_ms=1" != self.path.rpartition("&")[2]:
+            if is_watch and self.path.rpartition("&")[2] != "timeout_ms=1":
                 time.sleep(MAX_WATCH_S)
             entries = [] if is_watch else [entry]
             self.answer(json.dumps({"index": 1, "snapshot": not is_watch, "endpoints": entries}).encode())
