--- a/tests/test_discovery_and_gossip.py
+++ b/tests/test_discovery_and_gossip.py
@@ -13,14 +13,14 @@
 
 from gateway.config import EndpointList, config_from
 from gateway.network.clock import Clock, Timers
-from gateway.network.discovery import (
-    CallPace,
-    Discovery,
+from gateway.network.discovery import Discovery
+from gateway.network.discovery_client import (
     DiscoveryError,
-    DiscoveryOverloaded,
-    DiscoveryTimeout,
-    InvalidDiscoveryAnswer,
+    DiscoveryOverloadedError,
+    DiscoveryTimeoutError,
+    InvalidAnswerError,
 )
+from gateway.network.discovery_pace import CallPace
 from gateway.network.gossip_socket import GossipSocket
 
 WATCH = "/discovery/hosts?since={}&timeout_ms=5000"
@@ -170,11 +170,11 @@
 
 NEWS = EndpointList(41, False, ())
 FAILURES = {  # and whether it takes as long as the caller waits
-    "503": (DiscoveryOverloaded("status 503"), False),
-    "429 after 2 s": (DiscoveryOverloaded("status 429"), 2.0),
+    "503": (DiscoveryOverloadedError("status 503"), False),
+    "429 after 2 s": (DiscoveryOverloadedError("status 429"), 2.0),
     "reset": (DiscoveryError("the connection failed"), False),
-    "unreadable": (InvalidDiscoveryAnswer("no JSON"), False),
-    "silence": (DiscoveryTimeout("no answer in time"), True),
+    "unreadable": (InvalidAnswerError("no JSON"), False),
+    "silence": (DiscoveryTimeoutError("no answer in time"), True),
 }
 
 
@@ -185,7 +185,7 @@
     how many of them call in any 0.5 s. Each may take 3.5 s at most, so a fleet can't call less than that."""
 
     def call(now_s, _limit_s):
-        return (NEWS, 0.5) if not now_s or now_s > 30 else (DiscoveryOverloaded("status 503"), 0.0)
+        return (NEWS, 0.5) if not now_s or now_s > 30 else (DiscoveryOverloadedError("status 503"), 0.0)
 
     gateways = [calls_of(monkeypatch, call, fleet=fleet, seed=seed)[0][1:-1] for seed in range(fleet)]
     assert len({one[1] for one in gateways}) == fleet
@@ -281,7 +281,7 @@
 def test_where_somebody_turns_callers_away_it_is_not_an_agent_of_ours():
     pace = CallPace(40, random.Random(1), alone=True)
     alone = max(pace.after_failure_s() for _ in range(20)), pace.watch_ms()
-    pace.was_rejected()
+    pace.on_overload()
     assert alone == (pytest.approx(0.5, abs=0.25), 5000)
     assert max(pace.after_failure_s() for _ in range(20)) > 3 and pace.watch_ms() == 40_000
 
@@ -293,7 +293,7 @@
         [CallPace(14, random.Random(seed)) for seed in range(40)],
     )
     for pace in settled:
-        pace.worked()
+        pace.on_answer()
     first, later = [one.after_failure_s() for one in started], [one.after_failure_s() for one in settled]
     assert sum(first) < 0.7 * sum(later) and max(first) < 2.3 and max(later) <= 3.5
 
@@ -382,11 +382,11 @@
     monkeypatch.setattr("gateway.network.discovery.MAX_WAIT_S", 0.0)
 
     async def scenario(fake, lists, discovery):
-        discovery._told = lambda _news: 1 / 0
+        discovery._on_list = lambda _news: 1 / 0
         _, writer = await fake.called()
         writer.write(told(listing(index=41)))
         _, writer = await fake.called()
-        discovery._told = lists.put_nowait
+        discovery._on_list = lists.put_nowait
         writer.write(told(listing(index=42)))
         assert (await lists.get()).index == 42
 
