--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -44,12 +44,14 @@
 )
 from gateway.model.gateway_state import GatewayState
 from gateway.network.client_connection import ClientConnection
-from gateway.network.clock import Clock, Timer, Timers
+from gateway.network.clock import Clock, Timers
 from gateway.network.connection_limiter import ADMITTED_PART, SWEEP_MS, ConnectionLimiter
 from gateway.network.gossip_socket import GossipSocket
 from gateway.network.metrics import FinalStatus, Metrics
-from gateway.network.protocols import LimitedConnection
-from gateway.network.request_parser import RequestParser
+from gateway.network.open_request import OpenRequest, upstream_head
+from gateway.network.protocols import LimitedConnection, ResponseSink
+from gateway.network.recent_ids import RecentIds
+from gateway.network.request_parser import ParsedRequest, RequestParser
 from gateway.network.upstream import UpstreamAttempt, UpstreamConnection, UpstreamPool
 
 MARGIN_MS = 20.0  # the controller is told a deadline so much earlier: the wire and our timers take their time
@@ -68,40 +70,6 @@
     return min(sockets, int((sockets - RESERVED_DESCRIPTORS) / (ADMITTED_PART + UPSTREAM_PART)))
 
 
-class Request:
-    """An open request."""
-
-    __slots__ = (
-        "body",
-        "class_name",
-        "client",
-        "guard",
-        "id",
-        "message",
-        "name",
-        "passing",
-        "sends",
-        "upload",
-        "wait_ms",
-    )
-
-    def __init__(
-        self,
-        number: int,
-        name: bytes,
-        class_name: str,
-        client: ClientConnection,
-        message: bytes,
-        body: bytes,
-        wait_ms: float,
-    ) -> None:
-        self.id, self.name, self.class_name, self.client = number, name, class_name, client
-        self.message, self.body, self.upload, self.wait_ms = message, body, client.upload, wait_ms
-        self.sends = 0
-        self.passing: int | None = None  # the attempt whose answer is passed on as it comes
-        self.guard: Timer | None = None
-
-
 class Gateway:
     """One gateway: the controller, its open requests, and the ways to clients, endpoints and peers."""
 
@@ -128,13 +96,12 @@
         self.gossip_socket = GossipSocket(config, self.on_gossip)
         self.connections = ConnectionLimiter(shareable_descriptors(config.sockets))
         self.request_parser = RequestParser(config.settings)
-        self.open: dict[int, Request] = {}
+        self.open: dict[int, OpenRequest] = {}
         self.attempts: dict[tuple[int, int], UpstreamAttempt] = {}  # all that are out, also of ended requests
         self.ready = self.draining = self.ending = False
-        self._names: set[bytes] = set()  # ids of the open requests, and of those ended of late and before
-        self._ended_names: tuple[set[bytes], set[bytes]] = (set(), set())
+        self._ids = RecentIds()
         self._events: list[Event] = []
-        self._serial = 0
+        self._opened = 0
         self._end_ms = math.inf  # until then all that comes has to be answered
         self._making_room, self._log_fault_ms = False, 0.0
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
@@ -148,7 +115,7 @@
             SubscribeEndpoints: self._ignore,
         }
         self.timers.at(self.clock.now() + SWEEP_MS, self._sweep)
-        self.timers.at(self.clock.now() + REMEMBER_MS, self._forget_names)
+        self.timers.at(self.clock.now() + REMEMBER_MS, self._forget_ids)
 
     # -- events
 
@@ -218,90 +185,106 @@
             if client.is_movable() and self.move is not None:
                 self.move(client)
 
-    def on_client_closed(self, client: ClientConnection, request: Request | None) -> None:
+    def on_client_closed(self, client: ClientConnection, request: OpenRequest | None) -> None:
         self.connections.remove(client)
         if request is not None:
             self.on_client_gone(request)
 
-    def on_client_gone(self, request: Request) -> None:
+    def on_client_gone(self, request: OpenRequest) -> None:
         """Nobody waits for a request any more: what of it still comes, or is passed on, breaks off."""
         if not self._close(request):
             return
         self.enqueue(ClientDisconnected(request.id))
-        for attempt in self._out(request):
-            if attempt.number == request.passing:
+        for attempt in self._in_flight(request):
+            if attempt.number == request.streaming_attempt:
                 attempt.end(AttemptResult.CANCELLED)
 
-    def _out(self, request: Request) -> list[UpstreamAttempt]:
+    def _in_flight(self, request: OpenRequest) -> list[UpstreamAttempt]:
         """The attempts of a request that are out."""
-        keys = ((request.id, number) for number in range(request.sends))
+        keys = ((request.id, number) for number in range(request.attempts))
         return [self.attempts[key] for key in keys if key in self.attempts]
 
-    def take(self, client: ClientConnection) -> Request:
-        """A request has come in, whole or with the rest of a large body to come: from its last byte on it is
-        owed one final answer.
+    def take(self, client: ClientConnection) -> OpenRequest:
+        """Open a request that has come in, complete or with the rest of a large body to come.
+
+        From its last byte on it is owed one final answer. Raises BadRequestError.
         """
-        now, headers, method = self.clock.now(), client.headers, client.parser.get_method()
+        method = client.parser.get_method()
         upload = client.upload
-        form = self.request_parser.read(method, client.url, headers, bool(client.body) or upload is not None)
+        has_body = bool(client.body) or upload is not None
+        parsed = self.request_parser.read(method, client.url, client.headers, has_body)
         # One id is one request: a second of that name, of whomever, would pass for a copy of the first.
-        if form.id in self._names or form.id in self._ended_names[0] or form.id in self._ended_names[1]:
+        if parsed.id in self._ids:
             raise BadRequestError("x-request-id is in use", 409)
-        body = bytes(client.body)
-        parts = [method, b" ", client.url, b" HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: ", form.id]
-        if form.key is not None:
-            parts += (b"\r\nIdempotency-Key: ", form.key)
-        if b"content-type" in headers:
-            parts += (b"\r\nContent-Type: ", headers[b"content-type"])
-        if upload is not None:
-            parts += (b"\r\n", upload.framing)
-        elif method != b"GET":
-            parts.append(b"\r\nContent-Length: %d" % len(body))
-        parts.append(b"\r\nX-Deadline-Ms: ")
-        self._serial += 1
-        due_ms = self._due(now, form.wait_ms)
-        request = Request(
-            self._serial, form.id, form.request_class.name, client, b"".join(parts), body, form.wait_ms
-        )
-        self.open[request.id] = request
-        self._names.add(form.id)
+        request = self._open(client, parsed, method)
+        deadline_at_ms = self._deadline_at_ms(request)
         if upload is None:
-            request.guard = self.timers.at(due_ms - GUARD_MS, lambda: self._overdue(request))
+            self._guard(request, deadline_at_ms)
             self.connections.on_request_complete(client)
         self.enqueue(
             RequestArrived(
                 request.id,
-                form.customer,
-                form.request_class.name,
-                form.plan,
-                due_ms - MARGIN_MS,
-                form.units,
-                form.first,
-                form.spread,
-                form.is_client_retry,
-                upload is None,
+                parsed.customer,
+                request.class_name,
+                parsed.plan,
+                deadline_at_ms - MARGIN_MS,
+                parsed.units,
+                parsed.first,
+                parsed.spread,
+                parsed.is_client_retry,
+                is_complete=upload is None,
             )
         )
         return request
 
-    def _due(self, now: float, wait_ms: float) -> float:
-        return min(now + wait_ms, max(self._end_ms, now + 2 * MARGIN_MS))
+    def _open(self, client: ClientConnection, parsed: ParsedRequest, method: bytes) -> OpenRequest:
+        upload = client.upload
+        body = bytes(client.body)
+        framing = None
+        if upload is not None:
+            framing = upload.framing
+        elif method != b"GET":
+            framing = b"Content-Length: %d" % len(body)
+        head = upstream_head(parsed, method, client.url, client.headers.get(b"content-type"), framing)
+        self._opened += 1
+        request = OpenRequest(
+            self._opened,
+            parsed.id,
+            parsed.request_class.name,
+            client,
+            head,
+            body,
+            upload,
+            parsed.wait_ms,
+        )
+        self.open[request.id] = request
+        self._ids.open(parsed.id)
+        return request
+
+    def _guard(self, request: OpenRequest, deadline_at_ms: float) -> None:
+        """Answer a request in time, whatever the controller does."""
+        request.guard = self.timers.at(deadline_at_ms - GUARD_MS, lambda: self._overdue(request))
+
+    def _deadline_at_ms(self, request: OpenRequest) -> float:
+        """Return until when a request whose last byte has just come is answered; not beyond our own end."""
+        now = self.clock.now()
+        return min(now + request.wait_ms, max(self._end_ms, now + 2 * MARGIN_MS))
 
-    def parted(self, request: Request) -> None:
+    def parted(self, request: OpenRequest) -> None:
         """A part of a request's body is no longer here."""
         self.enqueue(BodyReleased(request.id))
 
-    def whole(self, request: Request) -> None:
+    def whole(self, request: OpenRequest) -> None:
         """The last byte of a large request has come: from now on its client waits."""
+        deadline_at_ms = self._deadline_at_ms(request)
+        self._guard(request, deadline_at_ms)
         now = self.clock.now()
-        due_ms = self._due(now, request.wait_ms)
-        request.guard = self.timers.at(due_ms - GUARD_MS, lambda: self._overdue(request))
-        for attempt in self._out(request):
+        for attempt in self._in_flight(request):
             attempt.started_ms = now
-            self.upstreams.allow(attempt, due_ms - MARGIN_MS - now)
-        self.enqueue(RequestCompleted(request.id, due_ms - MARGIN_MS))
+            self.upstreams.allow(attempt, deadline_at_ms - MARGIN_MS - now)
+        self.enqueue(RequestCompleted(request.id, deadline_at_ms - MARGIN_MS))
 
-    def _close(self, request: Request) -> bool:
+    def _close(self, request: OpenRequest) -> bool:
         """Take a request off the table; False if it has had its final answer before.
 
         What was sent of it runs on, until it is called off or answered. An attempt that is not whole at its
@@ -309,18 +292,17 @@
         """
         if self.open.pop(request.id, None) is None:
             return False
-        self._names.discard(request.name)
-        self._ended_names[0].add(request.name)
+        self._ids.end(request.request_id)
         if request.guard is not None:
             request.guard.cancel()
-        for attempt in self._out(request):
-            if attempt.number != request.passing:
+        for attempt in self._in_flight(request):
+            if attempt.number != request.streaming_attempt:
                 attempt.expire()
         return True
 
     def _finish(
         self,
-        request: Request,
+        request: OpenRequest,
         how: FinalStatus,
         status: int,
         body: bytes = b"",
@@ -334,7 +316,7 @@
         request.client.answer(status, body, content_type, retry_after_ms)
         return True
 
-    def _overdue(self, request: Request) -> None:
+    def _overdue(self, request: OpenRequest) -> None:
         """The last guard: the controller has not answered, and the client is about to give up."""
         if self._finish(request, FinalStatus.FAULTED, 504):
             self.enqueue(ClientDisconnected(request.id))
@@ -343,7 +325,7 @@
 
     def _send(self, action: SendAttempt) -> None:
         request = self.open.get(action.id)
-        number = 0 if request is None else request.sends
+        number = 0 if request is None else request.attempts
         if request is not None and request.client.is_disconnected():  # its end is here, and not read yet
             self.on_client_gone(request)
             request.client.drop()
@@ -351,10 +333,10 @@
         if request is None:  # the controller can't know it: it ended in between
             self.enqueue(AttemptEnded(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True))
             return
-        request.sends = number + 1
+        request.attempts = number + 1
         upload = request.upload
         timeout_ms = action.timeout_ms if upload is None or upload.whole else request.wait_ms
-        message = b"%s%d\r\n\r\n%s" % (request.message, max(1, int(timeout_ms)), request.body)
+        message = request.message(timeout_ms)
         attempt = UpstreamAttempt(
             request.id, number, action.endpoint, message, upload, self._ended, self._begun, action.send_by_ms
         )
@@ -363,12 +345,12 @@
 
     def _begun(
         self, attempt: UpstreamAttempt, source: UpstreamConnection, length: int | None, content_type: bytes
-    ) -> ClientConnection | None:
+    ) -> ResponseSink | None:
         """A large answer begins to be passed on; not where the request has ended, or another answers."""
         request = self.open.get(attempt.request_id)
-        if request is None or request.passing is not None:
+        if request is None or request.streaming_attempt is not None:
             return None
-        request.passing, attempt.answered_ms = attempt.number, self.clock.now()
+        request.streaming_attempt, attempt.answered_ms = attempt.number, self.clock.now()
         for alarm in (request.guard, attempt.alarm):  # from now on it ends when nothing moves any more
             if alarm is not None:
                 alarm.cancel()
@@ -376,7 +358,7 @@
         self.enqueue(ResponseStarted(request.id, attempt.number, attempt.endpoint_id))
         return request.client
 
-    def _end_passing(self, request: Request, whole: bool) -> None:
+    def _end_passing(self, request: OpenRequest, whole: bool) -> None:
         self._close(request)
         self.metrics.on_final_answer(
             request.class_name, FinalStatus.FULFILLED if whole else FinalStatus.FAULTED
@@ -398,10 +380,10 @@
         del self.attempts[attempt.request_id, attempt.number]
         request = self.open.get(attempt.request_id)
         final = request is None
-        if request is not None and request.passing == attempt.number:
+        if request is not None and request.streaming_attempt == attempt.number:
             final = True
             self._end_passing(request, result is AttemptResult.OK)
-        elif request is not None and request.passing is None and result is AttemptResult.OK:
+        elif request is not None and request.streaming_attempt is None and result is AttemptResult.OK:
             final = self._finish(request, FinalStatus.FULFILLED, 200, body, content_type)
         ended_ms = attempt.answered_ms or self.clock.now()  # of a large answer the first bytes count
         self.enqueue(
@@ -465,16 +447,15 @@
         self.gossip_socket.stop_listening()
         self.upstreams.close_idle_connections()
         self.upstreams.limit(self.upstreams.connections)
-        names = self._names | self._ended_names[0] | self._ended_names[1]
         return {
-            "names": [name.decode() for name in names],
+            "names": self._ids.to_json(),
             "module": hot_restart.export_state(self.controller, self.clock.now()).to_json(),
         }
 
     def take_over(self, state: dict[str, Any], tell: Callable[[int, bytes], None], sockets: int) -> None:
         """Go on with what the process before has left; it still holds all descriptors but `sockets`."""
         self.other = tell
-        self._ended_names[0].update(name.encode() for name in state["names"])
+        self._ids.restore(state["names"])
         hot_restart.take_over(self.controller, self.clock.now(), GatewayState.from_json(state["module"]))
         self._limit(sockets)
 
@@ -506,9 +487,9 @@
                 client.drop()
         self.connections.sweep(now, self.draining)
 
-    def _forget_names(self) -> None:
-        self.timers.at(self.clock.now() + REMEMBER_MS, self._forget_names)
-        self._ended_names = (set(), self._ended_names[0])
+    def _forget_ids(self) -> None:
+        self.timers.at(self.clock.now() + REMEMBER_MS, self._forget_ids)
+        self._ids.rotate()
 
     def begin_shutdown(self, within_ms: float) -> None:
         """A planned end: what comes is served as before, but nothing is promised beyond that time."""
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -876,9 +876,9 @@
         assert (await client.answer())[2] == b"first"
         assert (await other.send(request("00000000000000aa")).answer())[0] == 409
         assert worker.requests.empty()
-        gate.gateway._forget_names()
-        gate.gateway._forget_names()
-        assert not gate.gateway._names and not any(gate.gateway._ended_names)
+        gate.gateway._forget_ids()
+        gate.gateway._forget_ids()
+        assert not gate.gateway._ids.to_json()
 
     one_worker(scenario)
 
