--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -54,3 +54,10 @@
     (example,) = re.findall(r"```python\n(.*?)```", readme, re.S)
     exec(compile(example, "README.md", "exec"), {})
     assert "send 1 to" in capsys.readouterr().out
+
+
+def test_all_packages_belong_to_the_distribution():
+    """The engine's was left out when it came, and an installed gateway would not have found it."""
+    listed = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
+    found = [path.parent.relative_to(ROOT) for path in ROOT.glob("gateway/**/__init__.py")]
+    assert sorted(listed) == sorted(".".join(path.parts) for path in found)
