--- a/gateway/config.py
+++ b/gateway/config.py
@@ -1,6 +1,6 @@
 """The configuration: the environment and the platform's JSON file, translated into typed settings.
 
-The keys are the pages' words; they are known here and in `gateway.model.settings_reader` alone.
+The keys are the pages' words; they are known here and in `gateway.interface.settings_reader` alone.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from typing import Any
 
 from gateway.errors import ConfigError, SettingsError
-from gateway.model.events import Endpoint, EndpointState
-from gateway.model.settings import Settings
-from gateway.model.settings_reader import JsonObject, settings_from
+from gateway.interface.events import Endpoint, EndpointState
+from gateway.interface.settings import Settings
+from gateway.interface.settings_reader import JsonObject, settings_from
 
 Address = tuple[str, int]
 _STATES = {state.value: state for state in EndpointState}  # discovery's words
--- /dev/null
+++ b/gateway/interface/__init__.py
@@ -0,0 +1,1 @@
+"""What crosses the border of the decisions: settings, events and actions."""
--- a/gateway/model/events.py
+++ b/gateway/interface/events.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from gateway.model.settings import KeyScope
+from gateway.interface.settings import KeyScope
 
 
 class AttemptResult(Enum):
--- a/gateway/model/settings_reader.py
+++ b/gateway/interface/settings_reader.py
@@ -1,4 +1,4 @@
-"""The settings in the platform's JSON, translated into the types of `gateway.model.settings`.
+"""The settings in the platform's JSON, translated into the types of `gateway.interface.settings`.
 
 The keys are the pages' words; they are known here alone.
 """
@@ -9,7 +9,7 @@
 from typing import Any
 
 from gateway.errors import SettingsError
-from gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
+from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 
 _IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
--- a/gateway/model/records.py
+++ b/gateway/model/records.py
@@ -12,9 +12,9 @@
 from typing import NamedTuple
 
 from gateway.gossip.codec import QuotaEntry
-from gateway.model.decay import decay
-from gateway.model.events import Endpoint, RequestArrived
-from gateway.model.settings import Plan, RequestClass
+from gateway.interface.events import Endpoint, RequestArrived
+from gateway.interface.settings import Plan, RequestClass
+from gateway.policy.decay import decay
 
 NEVER_MS = -math.inf
 
--- a/gateway/model/shared.py
+++ b/gateway/model/shared.py
@@ -5,9 +5,9 @@
 import random
 from dataclasses import dataclass, field
 
-from gateway.model.actions import Action
-from gateway.model.settings import Settings
-from gateway.model.timers import TimerQueue
+from gateway.interface.actions import Action
+from gateway.interface.settings import Settings
+from gateway.policy.timers import TimerQueue
 
 INCARNATIONS = 1 << 16
 
--- /dev/null
+++ b/gateway/network/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The admin endpoint and the metrics that it serves."""
--- a/gateway/network/admin.py
+++ b/gateway/network/admin/endpoint.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from gateway.network.metrics import CONTENT_TYPE
+from gateway.network.admin.metrics import CONTENT_TYPE
 
 if TYPE_CHECKING:
     from gateway.network.gateway import Gateway
--- /dev/null
+++ b/gateway/network/clients/__init__.py
@@ -0,0 +1,1 @@
+"""Clients: their connections, the requests read from them, and the limit on connections."""
--- a/gateway/network/client_connection.py
+++ b/gateway/network/clients/connection.py
@@ -9,8 +9,8 @@
 import httptools
 
 from gateway.errors import BadRequestError
+from gateway.network.clients.upload import MAX_BUFFERED, Upload
 from gateway.network.protocols import RequestHandler, ResponseSource
-from gateway.network.upload import MAX_BUFFERED, Upload
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
 RAW_SPARE, RAW_PART = MAX_HEAD + 8 * 64 * 1024, 8  # of a message as it comes: chunks of a byte each take six
--- a/gateway/network/request_parser.py
+++ b/gateway/network/clients/request_parser.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from gateway.errors import BadRequestError
-from gateway.model.settings import Idempotency, RequestClass, Settings
+from gateway.interface.settings import Idempotency, RequestClass, Settings
 
 MOST_CUSTOMER = 1 << 33  # a customer is a number below
 _NUMBER = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")
--- a/gateway/network/drain_memory.py
+++ b/gateway/network/discovery/drain_memory.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from gateway.config import EndpointEntry, EndpointList
-from gateway.model.events import EndpointState
+from gateway.interface.events import EndpointState
 
 MEMORY_S = 120.0
 
--- a/gateway/network/discovery.py
+++ b/gateway/network/discovery/watch.py
@@ -13,15 +13,15 @@
 from collections.abc import Callable
 
 from gateway.config import Address, EndpointList
-from gateway.network.discovery_client import (
+from gateway.network.discovery.backoff import CALL_TIMEOUT_S, FIRST_WAIT_S, MAX_WAIT_S, CallPace
+from gateway.network.discovery.client import (
     DiscoveryClient,
     DiscoveryError,
     DiscoveryOverloadedError,
     DiscoveryTimeoutError,
     InvalidAnswerError,
 )
-from gateway.network.discovery_pace import CALL_TIMEOUT_S, FIRST_WAIT_S, MAX_WAIT_S, CallPace
-from gateway.network.drain_memory import DrainMemory
+from gateway.network.discovery.drain_memory import DrainMemory
 
 PATH = "/discovery/hosts"
 SHORT_WATCH_MS = 1  # of a first call, and of the first after a failure: one that waits could hang unnoticed
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -14,10 +14,8 @@
 from typing import Any
 
 from gateway.config import Config, EndpointList
-from gateway.engine import hot_restart
-from gateway.engine.controller import Controller
 from gateway.errors import BadRequestError
-from gateway.model.actions import (
+from gateway.interface.actions import (
     Action,
     CancelAttempt,
     CheckHealth,
@@ -28,7 +26,7 @@
     SetTimer,
     SubscribeEndpoints,
 )
-from gateway.model.events import (
+from gateway.interface.events import (
     AttemptEnded,
     AttemptResult,
     BodyReleased,
@@ -42,17 +40,19 @@
     ResponseStarted,
     TimerFired,
 )
-from gateway.model.gateway_state import GatewayState
-from gateway.network.client_connection import ClientConnection
+from gateway.network.admin.metrics import FinalStatus, Metrics
+from gateway.network.clients.connection import ClientConnection
+from gateway.network.clients.connection_limiter import ADMITTED_PART, SWEEP_MS, ConnectionLimiter
+from gateway.network.clients.request_parser import ParsedRequest, RequestParser
 from gateway.network.clock import Clock, Timers
-from gateway.network.connection_limiter import ADMITTED_PART, SWEEP_MS, ConnectionLimiter
 from gateway.network.gossip_socket import GossipSocket
-from gateway.network.metrics import FinalStatus, Metrics
 from gateway.network.open_request import OpenRequest, upstream_head
 from gateway.network.protocols import LimitedConnection, ResponseSink
 from gateway.network.recent_ids import RecentIds
-from gateway.network.request_parser import ParsedRequest, RequestParser
-from gateway.network.upstream import UpstreamAttempt, UpstreamConnection, UpstreamPool
+from gateway.network.upstream.connection import UpstreamAttempt, UpstreamConnection, UpstreamPool
+from gateway.policy.controller import Controller
+from gateway.policy.state_transfer import hot_restart
+from gateway.policy.state_transfer.gateway_state import GatewayState
 
 MARGIN_MS = 20.0  # the controller is told a deadline so much earlier: the wire and our timers take their time
 GUARD_MS = 5.0  # so long before the client gives up it is answered, come what may
--- a/gateway/network/hot_restart.py
+++ b/gateway/network/hot_restart.py
@@ -18,8 +18,8 @@
 from collections.abc import Callable, Coroutine, Iterator, Sequence
 from typing import Any
 
-from gateway.model.events import GossipReceived
-from gateway.network.client_connection import ClientConnection
+from gateway.interface.events import GossipReceived
+from gateway.network.clients.connection import ClientConnection
 from gateway.network.gateway import Gateway
 from gateway.network.gossip_socket import bound
 from gateway.network.protocols import LimitedConnection
--- a/gateway/network/open_request.py
+++ b/gateway/network/open_request.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from gateway.network.clients.request_parser import ParsedRequest
+from gateway.network.clients.upload import Upload
 from gateway.network.clock import Timer
 from gateway.network.protocols import ResponseSink, ResponseSource
-from gateway.network.request_parser import ParsedRequest
-from gateway.network.upload import Upload
 
 UPSTREAM_HOST = b"api.internal"
 
--- a/gateway/network/upstream.py
+++ b/gateway/network/upstream/connection.py
@@ -15,11 +15,11 @@
 import httptools
 
 from gateway.config import EndpointEntry, EndpointList
-from gateway.model.events import AttemptResult, EndpointState
+from gateway.interface.events import AttemptResult, EndpointState
+from gateway.network.admin.metrics import Metrics
+from gateway.network.clients.upload import Upload
 from gateway.network.clock import Clock, Timer, Timers
-from gateway.network.metrics import Metrics
 from gateway.network.protocols import ResponseSink
-from gateway.network.upload import Upload
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
 MAX_BUFFERED = (
--- a/gateway/engine/controller.py
+++ b/gateway/policy/controller.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from gateway.gossip.codec import REPLIES, QuotaEntry, decode, encode
-from gateway.model import events
-from gateway.model.actions import Action, SendGossip, SetTimer, SubscribeEndpoints
+from gateway.interface import events
+from gateway.interface.actions import Action, SendGossip, SetTimer, SubscribeEndpoints
+from gateway.interface.settings import Settings
 from gateway.model.records import EndpointRecord, LeaseKey
-from gateway.model.settings import Settings
 from gateway.model.shared import Shared
-from gateway.model.timers import REQUEST_TIMERS, Timer, TimerKind
-from gateway.policy.fuzzy_share import PERIOD_MS
-from gateway.policy.gossip_pace import GossipPace
-from gateway.policy.latency import is_stall
-from gateway.policy.request_flow import RequestFlow
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
+from gateway.policy.dispatch.latency import is_stall
+from gateway.policy.gossip.pace import GossipPace
+from gateway.policy.requests.request_flow import RequestFlow
+from gateway.policy.timers import REQUEST_TIMERS, Timer, TimerKind
 
 TIDY_MS = 1000.0  # how often what is over is forgotten; what is forgotten begins anew as it was
 WAKE_UP = "agenda"  # the name of the one timer that is asked for; recorded days have it
--- a/gateway/policy/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -2,9 +2,9 @@
 
 import math
 
-from gateway.model.decay import CountWithMean, decay
 from gateway.model.shared import Part, Shared
-from gateway.policy.fuzzy_share import PERIOD_MS
+from gateway.policy.decay import CountWithMean, decay
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 
 START_PER_ENDPOINT = 12.0  # attempts for each ready endpoint, over all gateways, until answers tell more
 MIN_PER_ENDPOINT = 4.0  # over all gateways: never fewer, or slow answers would close it for good
--- a/gateway/policy/dispatch.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -2,9 +2,9 @@
 
 from gateway.model.records import RequestPhase, RequestRecord
 from gateway.model.shared import Part, Shared
-from gateway.policy.attempts import AttemptManager
-from gateway.policy.fuzzy_share import FuzzyShare
-from gateway.policy.latency import longest_wait_ms
+from gateway.policy.dispatch.fuzzy_share import FuzzyShare
+from gateway.policy.dispatch.latency import longest_wait_ms
+from gateway.policy.requests.attempts import AttemptManager
 
 FEW_SAMPLES = 5  # with fewer dispatched in a period, the ages of those still queued count as waits too
 OVERAGE_LIMIT = 0.5  # of the concurrency limit: fuller, and nothing beyond a quota is dispatched
--- a/gateway/policy/fuzzy_share.py
+++ b/gateway/policy/dispatch/fuzzy_share.py
@@ -5,7 +5,7 @@
 
 import functools
 
-from gateway.model.fuzzy import CENTRES, centre_of_gravity, memberships
+from gateway.policy.dispatch.fuzzy_sets import CENTRES, centre_of_gravity, memberships
 
 PERIOD_MS = 100.0  # one step of the shares: short, since one step moves a share by 0.01 at most
 ERROR_GAIN = 0.4  # for each second of error
--- a/gateway/policy/latency.py
+++ b/gateway/policy/dispatch/latency.py
@@ -1,7 +1,7 @@
 """What answers are expected to take, by class, and how much of a request's time is left to them."""
 
-from gateway.model.settings import RequestClass
-from gateway.policy.fuzzy_share import PERIOD_MS
+from gateway.interface.settings import RequestClass
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 
 ANSWER_PART = 0.45  # of a class's latency objective that is kept free for the answer at most
 START_MS = 200.0  # a class's latency before the first answer,
--- a/gateway/policy/endpoint_directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -2,15 +2,15 @@
 
 import math
 
-from gateway.model.decay import decay
-from gateway.model.endpoint_table import EndpointTable
-from gateway.model.events import EndpointState, EndpointUpdate
+from gateway.interface.events import EndpointState, EndpointUpdate
 from gateway.model.records import EndpointRecord
-from gateway.model.ring import arc, mixed_ring
 from gateway.model.shared import Part, Shared
-from gateway.model.timers import TimerKind
-from gateway.policy.fuzzy_share import PERIOD_MS
-from gateway.policy.slow_start import capacity_part
+from gateway.policy.decay import decay
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
+from gateway.policy.endpoints.endpoint_table import EndpointTable
+from gateway.policy.endpoints.hash_ring import arc, mixed_ring
+from gateway.policy.endpoints.slow_start import capacity_part
+from gateway.policy.timers import TimerKind
 
 GATEWAYS_PER_ENDPOINT = 6  # that send to one endpoint before others: so many share what it does
 SLOW_START_SPARE = (
--- a/gateway/model/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from gateway.gossip.codec import endpoint_tag
-from gateway.model.events import EndpointState, EndpointUpdate
+from gateway.interface.events import EndpointState, EndpointUpdate
 from gateway.model.records import EndpointRecord
 
 
--- a/gateway/policy/outlier.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -7,9 +7,9 @@
     EndpointObservation,
     observe,
 )
-from gateway.model.decay import decay
 from gateway.model.records import EndpointRecord
 from gateway.model.shared import Part, Shared
+from gateway.policy.decay import decay
 
 EJECTED_SHARE = 0.5  # of failures, at which an endpoint is avoided
 FIRST_HAND_WEIGHT = 1.0  # of an attempt of our own that ended
--- a/gateway/policy/endpoint_selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -4,15 +4,15 @@
 from collections.abc import Sequence
 
 from gateway.gossip.codec import EndpointObservation, latency_ratio_of
-from gateway.model.decay import decay
-from gateway.model.events import EndpointState
+from gateway.interface.events import EndpointState
+from gateway.interface.settings import Idempotency, RequestClass
 from gateway.model.records import EndpointRecord, RequestRecord
-from gateway.model.settings import Idempotency, RequestClass
 from gateway.model.shared import Part, Shared
-from gateway.policy.endpoint_directory import EndpointDirectory
-from gateway.policy.fuzzy_share import PERIOD_MS
-from gateway.policy.outlier import GOSSIP_WEIGHT, OutlierDetector
-from gateway.policy.slow_start import SlowStartLottery
+from gateway.policy.decay import decay
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
+from gateway.policy.endpoints.directory import EndpointDirectory
+from gateway.policy.endpoints.outlier_detection import GOSSIP_WEIGHT, OutlierDetector
+from gateway.policy.endpoints.slow_start import SlowStartLottery
 
 FAILURE_COST = 200.0  # of the squared share of failures: one soon fades, a row of them does not
 NON_IDEMPOTENT_TIMES = 2  # times that cost for what can't be tried again
--- a/gateway/policy/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -4,12 +4,12 @@
 over all gateways it gets the part that its capacity is of the fleet's of late.
 """
 
-from gateway.model.decay import decay
-from gateway.model.events import Endpoint
+from gateway.interface.events import Endpoint
+from gateway.interface.settings import Settings
 from gateway.model.records import EndpointRecord, RequestRecord
-from gateway.model.settings import Settings
 from gateway.model.shared import Part, Shared
-from gateway.policy.fuzzy_share import PERIOD_MS
+from gateway.policy.decay import decay
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 
 RETRY_MS = 1000.0  # until a request that was not drawn tries again
 TRIES_MEMORY_MS = 1000.0  # over which requests and tries are counted
--- a/gateway/policy/gossip_pace.py
+++ b/gateway/policy/gossip/pace.py
@@ -7,12 +7,12 @@
 import math
 
 from gateway.gossip.codec import QuotaEntry
-from gateway.model.decay import decay
-from gateway.model.outbox import EntryOutbox
 from gateway.model.records import NEVER_MS
 from gateway.model.shared import Part, Shared
-from gateway.model.timers import TimerKind
-from gateway.policy.fuzzy_share import PERIOD_MS
+from gateway.policy.decay import decay
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
+from gateway.policy.gossip.outbox import EntryOutbox
+from gateway.policy.timers import TimerKind
 
 INBOX_PART = 0.75  # of an inbox that all other gateways may fill
 TALKING_MS = 1000.0  # a gateway heard from within so long shares our peers' inboxes with us
--- a/gateway/policy/quota_accounts.py
+++ b/gateway/policy/quota/accounts.py
@@ -8,9 +8,9 @@
 from collections.abc import Iterable
 
 from gateway.gossip.codec import customer_tag
-from gateway.model.events import RequestArrived
+from gateway.interface.events import RequestArrived
+from gateway.interface.settings import Plan
 from gateway.model.records import AccountKey, CustomerAccount, RequestRecord
-from gateway.model.settings import Plan
 from gateway.model.shared import Part, Shared
 
 DEMAND_MEMORY_MS = 3000.0  # over which a customer's demand is averaged
--- a/gateway/policy/quota_leader.py
+++ b/gateway/policy/quota/leader.py
@@ -6,10 +6,10 @@
 from gateway.model.protocols import EntrySender
 from gateway.model.records import LeaderBucket, LeaseKey, LeaseRequest
 from gateway.model.shared import Part, Shared
-from gateway.model.timers import TimerKind
-from gateway.policy import quota_accounts
-from gateway.policy.fuzzy_share import PERIOD_MS
-from gateway.policy.latency import longest_wait_ms
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
+from gateway.policy.dispatch.latency import longest_wait_ms
+from gateway.policy.quota import accounts as quota_accounts
+from gateway.policy.timers import TimerKind
 
 RESERVE = 0.8  # of the burst that what has no weight leaves in the bucket, and less the more weight it has
 SLOT_OBJECTIVES = 1.5  # a slot whose end is never told is free again after so many latency objectives
--- a/gateway/policy/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -1,13 +1,13 @@
 """Admission by quota: from the local bucket, by a lease of the customer's quota leader, or optimistically."""
 
 from gateway.gossip.codec import EntryKind, QuotaEntry
-from gateway.model.lease_table import LeaseTable
 from gateway.model.protocols import EntrySender, QuotaListener
 from gateway.model.records import RequestRecord
 from gateway.model.shared import Part, Shared
-from gateway.model.timers import TimerKind
-from gateway.policy.latency import GAIN, longest_wait_ms
-from gateway.policy.quota_accounts import QuotaAccounts, per_second
+from gateway.policy.dispatch.latency import GAIN, longest_wait_ms
+from gateway.policy.quota.accounts import QuotaAccounts, per_second
+from gateway.policy.quota.lease_table import LeaseTable
+from gateway.policy.timers import TimerKind
 
 START_REPLY_MS = 60.0  # the expected time of a leader's reply, before the first one
 OVERDUE_TIMES = 2.5  # expected times after which a reply is overdue,
--- a/gateway/model/lease_table.py
+++ b/gateway/policy/quota/lease_table.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from gateway.gossip.codec import EntryKind, QuotaEntry
+from gateway.interface.settings import Settings
 from gateway.model.records import RequestRecord
-from gateway.model.settings import Settings
 
 MAX_LEASE_ID = 0xFFFF
 
--- /dev/null
+++ b/gateway/policy/requests/__init__.py
@@ -0,0 +1,1 @@
+"""Requests: their way to a final answer, and their attempts."""
--- a/gateway/policy/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -3,8 +3,9 @@
 import math
 from collections.abc import Iterable
 
-from gateway.model.actions import CancelAttempt, SendAttempt
-from gateway.model.events import AttemptEnded, AttemptResult
+from gateway.interface.actions import CancelAttempt, SendAttempt
+from gateway.interface.events import AttemptEnded, AttemptResult
+from gateway.interface.settings import Idempotency, KeyScope
 from gateway.model.records import (
     AttemptKey,
     AttemptRecord,
@@ -12,13 +13,12 @@
     EndpointRecord,
     RequestRecord,
 )
-from gateway.model.settings import Idempotency, KeyScope
 from gateway.model.shared import Part, Shared
-from gateway.model.timers import TimerKind
-from gateway.policy.concurrency_limit import ConcurrencyLimiter
-from gateway.policy.endpoint_selection import Eligible, EndpointSelector
-from gateway.policy.latency import LatencyEstimates
-from gateway.policy.outlier import FIRST_HAND_WEIGHT, SILENCE_WEIGHT, SLOW_RATIO
+from gateway.policy.dispatch.concurrency_limit import ConcurrencyLimiter
+from gateway.policy.dispatch.latency import LatencyEstimates
+from gateway.policy.endpoints.outlier_detection import FIRST_HAND_WEIGHT, SILENCE_WEIGHT, SLOW_RATIO
+from gateway.policy.endpoints.selection import Eligible, EndpointSelector
+from gateway.policy.timers import TimerKind
 
 MIN_HEDGE_MS = 150.0  # a second copy is sent no sooner
 HEDGE_LIMIT = 0.7  # of the concurrency limit: fuller, and no second copy is sent
--- a/gateway/policy/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -4,27 +4,27 @@
 from dataclasses import replace
 
 from gateway.gossip.codec import EntryKind
-from gateway.model.actions import Fail, Reject
-from gateway.model.events import (
+from gateway.interface.actions import Fail, Reject
+from gateway.interface.events import (
     AttemptEnded,
     RequestArrived,
     RequestCompleted,
     ResponseStarted,
 )
+from gateway.interface.settings import KeyScope
 from gateway.model.protocols import EntrySender
 from gateway.model.records import (
     AttemptKey,
     RequestPhase,
     RequestRecord,
 )
-from gateway.model.settings import KeyScope
 from gateway.model.shared import Part, Shared
-from gateway.model.timers import TimerKind
-from gateway.policy.attempts import AttemptManager
-from gateway.policy.dispatch import Dispatcher
-from gateway.policy.latency import ANSWER_PART
-from gateway.policy.lease_client import LeaseClient
-from gateway.policy.quota_leader import QuotaLeader
+from gateway.policy.dispatch.dispatcher import Dispatcher
+from gateway.policy.dispatch.latency import ANSWER_PART
+from gateway.policy.quota.leader import QuotaLeader
+from gateway.policy.quota.lease_client import LeaseClient
+from gateway.policy.requests.attempts import AttemptManager
+from gateway.policy.timers import TimerKind
 
 MAX_QUEUE_PART = 0.45  # of a request's time that it may wait for at most
 DEFAULT_RETRY_AFTER_MS = 250.0  # advice to come again where nothing better is known
--- a/gateway/engine/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -4,17 +4,17 @@
 open stays with the process that took it, and asks the next one where its gateway is the customer's leader.
 """
 
-from gateway.engine.controller import Controller
-from gateway.model.gateway_state import (
+from gateway.model.records import LeaderBucket
+from gateway.model.shared import INCARNATIONS
+from gateway.policy.controller import Controller
+from gateway.policy.quota.lease_table import MAX_LEASE_ID
+from gateway.policy.state_transfer.gateway_state import (
     AccountState,
     BucketState,
     EndpointObservations,
     GatewayState,
     LimiterState,
 )
-from gateway.model.lease_table import MAX_LEASE_ID
-from gateway.model.records import LeaderBucket
-from gateway.model.shared import INCARNATIONS
 
 LEASE_ID_DISTANCE = 0x8000  # lease ids of the two processes are so far apart: replies are told apart by them
 
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -11,8 +11,8 @@
 
 from gateway.config import Config, load
 from gateway.errors import ConfigError
-from gateway.network.admin import AdminEndpoint
-from gateway.network.discovery import Discovery
+from gateway.network.admin.endpoint import AdminEndpoint
+from gateway.network.discovery.watch import Discovery
 from gateway.network.gateway import Gateway
 from gateway.network.hot_restart import HotRestart
 
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -11,10 +11,10 @@
 from collections.abc import Iterator
 from typing import Any, TextIO
 
-from gateway.engine.controller import Controller
 from gateway.errors import GatewayError, SettingsError
-from gateway.model.events import Endpoint, EndpointUpdate, Event
-from gateway.model.settings_reader import settings_from
+from gateway.interface.events import Endpoint, EndpointUpdate, Event
+from gateway.interface.settings_reader import settings_from
+from gateway.policy.controller import Controller
 from gateway.simulator.messages import (
     WireError,
     endpoint_from,
--- a/gateway/simulator/messages.py
+++ b/gateway/simulator/messages.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from gateway.errors import GatewayError
-from gateway.model import actions, events
-from gateway.model.events import AttemptResult, EndpointState
+from gateway.interface import actions, events
+from gateway.interface.events import AttemptResult, EndpointState
 
 _STATES = {
     "Running": EndpointState.READY,
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -9,10 +9,10 @@
 import uvloop
 
 from gateway.config import config_from
-from gateway.model.actions import Fail, SendAttempt
-from gateway.model.events import AttemptEnded, RequestArrived
-from gateway.network.admin import AdminEndpoint
-from gateway.network.client_connection import ClientConnection
+from gateway.interface.actions import Fail, SendAttempt
+from gateway.interface.events import AttemptEnded, RequestArrived
+from gateway.network.admin.endpoint import AdminEndpoint
+from gateway.network.clients.connection import ClientConnection
 from gateway.network.gateway import Gateway
 
 HOST = "127.0.0.1"
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,9 +7,9 @@
 from fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, request, run
 
 from gateway.config import config_from
-from gateway.model.actions import Fail, Reject
-from gateway.model.events import RequestArrived
-from gateway.network import admin as door
+from gateway.interface.actions import Fail, Reject
+from gateway.interface.events import RequestArrived
+from gateway.network.admin import endpoint as door
 from gateway.network.gateway import RESERVED_DESCRIPTORS
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -20,11 +20,9 @@
 from test_process import ROOT, free_port, start, tell_list
 from test_rules import settings
 
-from gateway.engine import hot_restart
-from gateway.engine.controller import Controller
 from gateway.gossip import codec as messages
-from gateway.model.actions import Fail, Reject, SendAttempt, SetTimer
-from gateway.model.events import (
+from gateway.interface.actions import Fail, Reject, SendAttempt, SetTimer
+from gateway.interface.events import (
     AttemptEnded,
     AttemptResult,
     Endpoint,
@@ -34,7 +32,9 @@
     RequestArrived,
     TimerFired,
 )
-from gateway.model.gateway_state import GatewayState
+from gateway.policy.controller import Controller
+from gateway.policy.state_transfer import hot_restart
+from gateway.policy.state_transfer.gateway_state import GatewayState
 
 FIXTURES = pathlib.Path(__file__).parent / "fixtures"
 BODY_LIMIT = 256 * 1024  # a larger body is passed on while it comes
--- a/tests/test_hot_restart_state.py
+++ b/tests/test_hot_restart_state.py
@@ -5,13 +5,13 @@
 from test_policy import SIX_ENDPOINTS
 from test_rules import settings
 
-from gateway.engine import hot_restart
-from gateway.engine.controller import Controller
-from gateway.model.actions import Reject, SendAttempt, SendGossip
-from gateway.model.events import AttemptEnded, AttemptResult, GossipReceived, RequestArrived
-from gateway.model.gateway_state import GatewayState
+from gateway.interface.actions import Reject, SendAttempt, SendGossip
+from gateway.interface.events import AttemptEnded, AttemptResult, GossipReceived, RequestArrived
+from gateway.interface.settings import Plan
 from gateway.model.records import LeaderBucket
-from gateway.model.settings import Plan
+from gateway.policy.controller import Controller
+from gateway.policy.state_transfer import hot_restart
+from gateway.policy.state_transfer.gateway_state import GatewayState
 
 START = 10_000.0
 SETTINGS = settings(
--- a/tests/test_http_forms.py
+++ b/tests/test_http_forms.py
@@ -3,7 +3,7 @@
 import pytest
 from fakes import FakeWorker, Gate, Script, answer, entry, request, run
 
-from gateway.network.client_connection import MAX_HEAD
+from gateway.network.clients.connection import MAX_HEAD
 
 
 def with_worker(scenario, **more):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,9 +8,8 @@
 import pytest
 from test_rules import settings
 
-from gateway.engine.controller import Controller
 from gateway.gossip import codec as messages
-from gateway.model.actions import (
+from gateway.interface.actions import (
     CancelAttempt,
     Fail,
     Reject,
@@ -19,7 +18,7 @@
     SetTimer,
     SubscribeEndpoints,
 )
-from gateway.model.events import (
+from gateway.interface.events import (
     AttemptEnded,
     AttemptResult,
     BodyReleased,
@@ -33,15 +32,16 @@
     ResponseStarted,
     TimerFired,
 )
-from gateway.model.fuzzy import CENTRES
+from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass
 from gateway.model.records import EndpointRecord
-from gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass
 from gateway.model.shared import Shared
-from gateway.model.timers import TimerKind
-from gateway.policy.concurrency_limit import ConcurrencyLimiter
-from gateway.policy.endpoint_directory import GATEWAYS_PER_ENDPOINT, EndpointDirectory
-from gateway.policy.fuzzy_share import FuzzyShare
-from gateway.policy.quota_accounts import FORGET_MS
+from gateway.policy.controller import Controller
+from gateway.policy.dispatch.concurrency_limit import ConcurrencyLimiter
+from gateway.policy.dispatch.fuzzy_sets import CENTRES
+from gateway.policy.dispatch.fuzzy_share import FuzzyShare
+from gateway.policy.endpoints.directory import GATEWAYS_PER_ENDPOINT, EndpointDirectory
+from gateway.policy.quota.accounts import FORGET_MS
+from gateway.policy.timers import TimerKind
 
 SIX_ENDPOINTS = EndpointUpdate(
     tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(6))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,9 +8,8 @@
 
 import pytest
 
-from gateway.engine.controller import Controller
-from gateway.model.actions import CancelAttempt, Fail, Reject, SendAttempt, SendGossip, SetTimer
-from gateway.model.events import (
+from gateway.interface.actions import CancelAttempt, Fail, Reject, SendAttempt, SendGossip, SetTimer
+from gateway.interface.events import (
     AttemptEnded,
     AttemptResult,
     ClientDisconnected,
@@ -22,7 +21,8 @@
     ResponseStarted,
     TimerFired,
 )
-from gateway.model.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
+from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
+from gateway.policy.controller import Controller
 
 TICK, GRACE, SLACK = 4.0, 250.0, 16.0
 
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -103,7 +103,7 @@
 def test_a_fault_of_the_module_is_told_on_the_wire(monkeypatch, capsys):
     import io
 
-    from gateway.engine.controller import Controller
+    from gateway.policy.controller import Controller
     from gateway.simulator import adapter as simhost
 
     monkeypatch.setattr(Controller, "handle", lambda self, now, events: 1 / 0)
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -5,8 +5,8 @@
 import pytest
 from fakes import HOST, Gate, Script, entry, request, run
 
-from gateway.model.actions import Reject, SendAttempt
-from gateway.model.events import (
+from gateway.interface.actions import Reject, SendAttempt
+from gateway.interface.events import (
     AttemptEnded,
     AttemptResult,
     BodyReleased,
@@ -16,10 +16,10 @@
     ResponseStarted,
     TimerFired,
 )
-from gateway.network import upload as bodies
-from gateway.network import upstream as workers
-from gateway.network.connection_limiter import INPUT_TIMEOUT_MS
-from gateway.network.metrics import FinalStatus
+from gateway.network.admin.metrics import FinalStatus
+from gateway.network.clients import upload as bodies
+from gateway.network.clients.connection_limiter import INPUT_TIMEOUT_MS
+from gateway.network.upstream import connection as workers
 
 LARGE = 3 * bodies.MAX_BUFFERED
 
