--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -9,8 +9,11 @@
 import httptools
 
 from gateway.errors import BadRequestError
+from gateway.network.clients.received_request import ReceivedRequest
+from gateway.network.clients.request_handler import RequestHandler
+from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clients.upload import MAX_BUFFERED, Upload
-from gateway.network.protocols import RequestHandler, ResponseSource
+from gateway.network.open_request import OpenRequest
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
 RAW_SPARE, RAW_PART = MAX_HEAD + 8 * 64 * 1024, 8  # of a message as it comes: chunks of a byte each take six
@@ -51,7 +54,7 @@
     def __init__(self, gateway: RequestHandler, moved: bool = False) -> None:
         self.gateway, self.moved = gateway, moved  # moved: from the process before this one
         self.transport: asyncio.Transport | None = None
-        self.request: Any = None  # taken and not answered yet
+        self.request: OpenRequest | None = None  # taken and not answered yet
         self.parser: Any = httptools.HttpRequestParser(self)
         self.ending = False  # nothing more is read from it
         self.pipelined = False  # more came before the answer: pipelined
@@ -86,11 +89,11 @@
 
     def pause_writing(self) -> None:
         if self.response_source is not None:
-            self.response_source.flow(stopped=True)
+            self.response_source.set_response_paused(paused=True)
 
     def resume_writing(self) -> None:
         if self.response_source is not None:
-            self.response_source.flow(stopped=False)
+            self.response_source.set_response_paused(paused=False)
 
     def data_received(self, data: bytes) -> None:
         if self.ending:
@@ -202,26 +205,31 @@
         self.upload = Upload(self, None if length is None else int(length), bytes(self.body))
         self.body = bytearray()
         try:
-            self.request = self.gateway.take(self)
+            self.request = self.gateway.open_request(self, self._received())
         except BadRequestError as problem:
             self.bad = problem.status
 
-    def hold(self, stopped: bool) -> None:
+    def _received(self) -> ReceivedRequest:
+        return ReceivedRequest(
+            self.parser.get_method(), self.url, self.headers, bytes(self.body), self.upload
+        )
+
+    def set_body_paused(self, paused: bool) -> None:
         """Read nothing for now of a body that comes too fast, or read on. That is not the client's delay."""
         transport, now = self.transport, self.gateway.clock.now()
-        if transport is None or transport.is_closing() or stopped == bool(self.held_ms):
+        if transport is None or transport.is_closing() or paused == bool(self.held_ms):
             return
-        if stopped:
+        if paused:
             self.held_ms = now
             transport.pause_reading()
         else:
             self.head_ms, self.held_ms = self.head_ms + now - self.held_ms, 0.0
             transport.resume_reading()
 
-    def parted(self) -> None:
+    def on_body_released(self) -> None:
         """A part of the body is out."""
         if self.request is not None:
-            self.gateway.parted(self.request)
+            self.gateway.on_body_released(self.request)
 
     def abort_request(self, status: int) -> None:
         """What comes is no message, or takes too long. If its request was taken early, that one has gone."""
@@ -245,7 +253,7 @@
         if self.request is not None and self.upload is not None:
             self.gateway.connections.on_request_complete(self)
             self.upload.end()
-            self.gateway.whole(self.request)
+            self.gateway.on_request_completed(self.request)
             return
         self.keep = self.parser.should_keep_alive()  # the parser knows this here and no later
         if self.parser.get_method() == b"GET" and self.url == b"/up":
@@ -253,7 +261,7 @@
             self._tell_readiness()
             return
         try:
-            self.request = self.gateway.take(self)
+            self.request = self.gateway.open_request(self, self._received())
         except BadRequestError as problem:
             self._turn_away(problem.status)
 
@@ -315,7 +323,7 @@
         if early:
             self.transport.write(head + body)
             self.upload, self.discards_body = None, True
-            self.hold(False)
+            self.set_body_paused(False)
             return
         self._clear()
         if not close:
@@ -368,7 +376,7 @@
         transport.write(last)
         if self.message_started and not close:
             self.upload, self.discards_body = None, True
-            self.hold(False)
+            self.set_body_paused(False)
             return
         self._clear()
         if pipelined or (close and self.message_started):
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -7,7 +7,8 @@
 
 from __future__ import annotations
 
-from gateway.network.protocols import LimitedConnection
+import asyncio
+from typing import Protocol
 
 # Parts of the descriptors.
 KEPT_PART = 0.38  # connections of clients that may stay,
@@ -25,6 +26,35 @@
 MAX_LINGER_MS = 5000.0  # and for so long in all
 SWEEP_MS = 100.0
 
+
+class LimitedConnection(Protocol):
+    """A client's connection, as the limiter of connections sees it."""
+
+    message_started: bool
+    received_while_closing: bool
+    head_ms: float
+    closing_at_ms: float
+    transport: asyncio.Transport | None
+
+    def is_movable(self) -> bool:
+        """Return whether another process could go on with it."""
+
+    def has_unread_input(self) -> bool:
+        """Return whether something has come that has not been read."""
+
+    def is_slow(self, now: float, spare_ms: float, per_ms: float) -> bool:
+        """Return whether less has come of a body than was to be expected."""
+
+    def close_if_idle(self) -> None:
+        """Close it where no request is open, coming in or unread."""
+
+    def on_input_timeout(self) -> None:
+        """Its time for a whole request is over."""
+
+    def drop(self) -> None:
+        """Close it at once."""
+
+
 Table = dict[LimitedConnection, float]  # connections, and since when they are in the table
 
 
--- a/gateway/network/clients/upload.py
+++ b/gateway/network/clients/upload.py
@@ -2,13 +2,38 @@
 
 from __future__ import annotations
 
-from gateway.network.protocols import BodySink, BodySource
+from typing import Protocol
 
 # A body up to this size is held until it is complete; of a larger one so much may wait for its endpoint.
 MAX_BUFFERED = 256 * 1024
 LAST_CHUNK = b"0\r\n\r\n"
 
 
+class BodySource(Protocol):
+    """The client's side of a body that is forwarded while it comes."""
+
+    def set_body_paused(self, paused: bool) -> None:
+        """Stop or resume reading the body."""
+
+    def is_disconnected(self) -> bool:
+        """Return whether the client has ended its sending."""
+
+    def on_body_released(self) -> None:
+        """Note that a part of the body is no longer buffered."""
+
+
+class BodySink(Protocol):
+    """The upstream's side of a body that is forwarded while it comes."""
+
+    blocked: bool
+
+    def write_part(self, data: bytes) -> None:
+        """Write a part of a request, not the last."""
+
+    def write_last(self, data: bytes) -> None:
+        """Write the end of a request."""
+
+
 class Upload:
     """The body of a request that is forwarded while it comes.
 
@@ -22,7 +47,7 @@
         self._parts = [first] if first else []
         self._size = len(first)
         self._sink: BodySink | None = None  # the one that has had the first byte
-        self.whole = False  # its last byte has come
+        self.is_complete = False  # its last byte has come
         self.framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
 
     def may_send(self) -> bool:
@@ -40,11 +65,11 @@
         self._parts.append(part)
         self._size += len(part)
         if self._size >= MAX_BUFFERED:
-            self._client.hold(True)
+            self._client.set_body_paused(True)
 
     def end(self) -> None:
         """Take note that the last byte has come."""
-        self.whole = True
+        self.is_complete = True
         if self._sink is not None:
             self._sink.write_last(LAST_CHUNK if self._chunked else b"")
 
@@ -53,17 +78,17 @@
         data = head + b"".join(map(self._framed, self._parts))
         self._parts.clear()
         self._sink = sink
-        self._client.parted()
-        if self.whole:
+        self._client.on_body_released()
+        if self.is_complete:
             sink.write_last(data + (LAST_CHUNK if self._chunked else b""))
         else:
             sink.write_part(data)
-            self._client.hold(sink.blocked)
+            self._client.set_body_paused(sink.blocked)
 
-    def flow(self, stopped: bool) -> None:
+    def on_endpoint_blocked(self, blocked: bool) -> None:
         """Take note that the endpoint's connection is full, or takes more."""
-        if not self.whole:
-            self._client.hold(stopped)
+        if not self.is_complete:
+            self._client.set_body_paused(blocked)
 
     def _framed(self, part: bytes) -> bytes:
         return b"%x\r\n%s\r\n" % (len(part), part) if self._chunked else part
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -42,14 +42,20 @@
 )
 from gateway.network.admin.metrics import FinalStatus, Metrics
 from gateway.network.clients.connection import ClientConnection
-from gateway.network.clients.connection_limiter import ADMITTED_PART, SWEEP_MS, ConnectionLimiter
+from gateway.network.clients.connection_limiter import (
+    ADMITTED_PART,
+    SWEEP_MS,
+    ConnectionLimiter,
+    LimitedConnection,
+)
+from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clients.request_parser import ParsedRequest, RequestParser
 from gateway.network.clock import Clock, Timers
 from gateway.network.gossip_socket import GossipSocket
 from gateway.network.open_request import OpenRequest, upstream_head
-from gateway.network.protocols import LimitedConnection, ResponseSink
 from gateway.network.recent_ids import RecentIds
 from gateway.network.upstream.connection import UpstreamAttempt, UpstreamConnection, UpstreamPool
+from gateway.network.upstream.response_sink import ResponseSink
 from gateway.policy.controller import Controller
 from gateway.policy.state_transfer import hot_restart
 from gateway.policy.state_transfer.gateway_state import GatewayState
@@ -204,19 +210,19 @@
         keys = ((request.id, number) for number in range(request.attempts))
         return [self.attempts[key] for key in keys if key in self.attempts]
 
-    def take(self, client: ClientConnection) -> OpenRequest:
+    def open_request(self, client: ClientConnection, received: ReceivedRequest) -> OpenRequest:
         """Open a request that has come in, complete or with the rest of a large body to come.
 
         From its last byte on it is owed one final answer. Raises BadRequestError.
         """
-        method = client.parser.get_method()
-        upload = client.upload
-        has_body = bool(client.body) or upload is not None
-        parsed = self.request_parser.read(method, client.url, client.headers, has_body)
+        upload = received.upload
+        parsed = self.request_parser.read(
+            received.method, received.target, received.headers, received.has_body
+        )
         # One id is one request: a second of that name, of whomever, would pass for a copy of the first.
         if parsed.id in self._ids:
             raise BadRequestError("x-request-id is in use", 409)
-        request = self._open(client, parsed, method)
+        request = self._open(client, parsed, received)
         deadline_at_ms = self._deadline_at_ms(request)
         if upload is None:
             self._guard(request, deadline_at_ms)
@@ -237,15 +243,18 @@
         )
         return request
 
-    def _open(self, client: ClientConnection, parsed: ParsedRequest, method: bytes) -> OpenRequest:
-        upload = client.upload
-        body = bytes(client.body)
+    def _open(
+        self, client: ClientConnection, parsed: ParsedRequest, received: ReceivedRequest
+    ) -> OpenRequest:
+        upload = received.upload
         framing = None
         if upload is not None:
             framing = upload.framing
-        elif method != b"GET":
-            framing = b"Content-Length: %d" % len(body)
-        head = upstream_head(parsed, method, client.url, client.headers.get(b"content-type"), framing)
+        elif received.method != b"GET":
+            framing = b"Content-Length: %d" % len(received.body)
+        head = upstream_head(
+            parsed, received.method, received.target, received.headers.get(b"content-type"), framing
+        )
         self._opened += 1
         request = OpenRequest(
             self._opened,
@@ -253,7 +262,7 @@
             parsed.request_class.name,
             client,
             head,
-            body,
+            received.body,
             upload,
             parsed.wait_ms,
         )
@@ -270,11 +279,11 @@
         now = self.clock.now()
         return min(now + request.wait_ms, max(self._end_ms, now + 2 * MARGIN_MS))
 
-    def parted(self, request: OpenRequest) -> None:
+    def on_body_released(self, request: OpenRequest) -> None:
         """A part of a request's body is no longer here."""
         self.enqueue(BodyReleased(request.id))
 
-    def whole(self, request: OpenRequest) -> None:
+    def on_request_completed(self, request: OpenRequest) -> None:
         """The last byte of a large request has come: from now on its client waits."""
         deadline_at_ms = self._deadline_at_ms(request)
         self._guard(request, deadline_at_ms)
@@ -335,7 +344,7 @@
             return
         request.attempts = number + 1
         upload = request.upload
-        timeout_ms = action.timeout_ms if upload is None or upload.whole else request.wait_ms
+        timeout_ms = action.timeout_ms if upload is None or upload.is_complete else request.wait_ms
         message = request.message(timeout_ms)
         attempt = UpstreamAttempt(
             request.id, number, action.endpoint, message, upload, self._ended, self._begun, action.send_by_ms
--- a/gateway/network/hot_restart.py
+++ b/gateway/network/hot_restart.py
@@ -20,9 +20,9 @@
 
 from gateway.interface.events import GossipReceived
 from gateway.network.clients.connection import ClientConnection
+from gateway.network.clients.connection_limiter import LimitedConnection
 from gateway.network.gateway import Gateway
 from gateway.network.gossip_socket import bound
-from gateway.network.protocols import LimitedConnection
 
 ANSWER_S = 1.0  # for the whole answer of the process before; a mute one must not delay a start
 PART, PACKET, MOST_FDS = 32 * 1024, 64 * 1024, 4
--- a/gateway/network/open_request.py
+++ b/gateway/network/open_request.py
@@ -6,9 +6,10 @@
 from typing import Protocol
 
 from gateway.network.clients.request_parser import ParsedRequest
+from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clients.upload import Upload
 from gateway.network.clock import Timer
-from gateway.network.protocols import ResponseSink, ResponseSource
+from gateway.network.upstream.response_sink import ResponseSink
 
 UPSTREAM_HOST = b"api.internal"
 
--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -19,7 +19,7 @@
 from gateway.network.admin.metrics import Metrics
 from gateway.network.clients.upload import Upload
 from gateway.network.clock import Clock, Timer, Timers
-from gateway.network.protocols import ResponseSink
+from gateway.network.upstream.response_sink import ResponseSink
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
 MAX_BUFFERED = (
@@ -167,14 +167,14 @@
             self.is_unsent = True
             self.pool.metrics.relayed -= 1
         if self.attempt is not None and self.attempt.upload is not None:
-            self.attempt.upload.flow(stopped=True)
+            self.attempt.upload.on_endpoint_blocked(blocked=True)
 
     def resume_writing(self) -> None:
         self.blocked, self.last_progress_ms = False, self.pool.clock.now()
         upload = self.attempt.upload if self.attempt is not None else None
         if upload is not None:
-            upload.flow(stopped=False)
-        if self.is_unsent and (upload is None or upload.whole):
+            upload.on_endpoint_blocked(blocked=False)
+        if self.is_unsent and (upload is None or upload.is_complete):
             self._is_out()
 
     def write_part(self, data: bytes) -> None:
@@ -192,11 +192,11 @@
         self.is_unsent = False
         self.pool.metrics.relayed += 1
 
-    def flow(self, stopped: bool) -> None:
+    def set_response_paused(self, paused: bool) -> None:
         """The client of the answer takes no more for now, or again."""
         self.last_progress_ms = self.pool.clock.now()
         if self.transport is not None and not self.transport.is_closing():
-            if stopped:
+            if paused:
                 self.transport.pause_reading()
             else:
                 self.transport.resume_reading()
@@ -500,7 +500,7 @@
         """Send on a kept connection, or on a new one. The outcome never comes before this returns."""
         now = self.clock.now()
         attempt.started_ms = now
-        if attempt.upload is None or attempt.upload.whole:  # else its time begins with its last byte
+        if attempt.upload is None or attempt.upload.is_complete:  # else its time begins with its last byte
             self.allow(attempt, timeout_ms)
         if attempt.send_by_ms < math.inf:
             attempt.send_by_timer = self._timers.at(attempt.send_by_ms, attempt.expire)
--- /dev/null
+++ b/gateway/network/upstream/response_sink.py
@@ -0,0 +1,15 @@
+"""The interface of a client to which a response is forwarded while it is received."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+
+class ResponseSink(Protocol):
+    """The client's side of a response that is forwarded while it comes."""
+
+    transport: asyncio.Transport | None
+
+    def forward(self, part: bytes) -> None:
+        """Write the next part."""
--- a/tests/test_streaming.py
+++ b/tests/test_streaming.py
@@ -257,10 +257,10 @@
     """A client and a worker's connection, as an upload sees them."""
 
     def __init__(self):
-        self.is_parted, self.gone, self.blocked, self.text = False, False, False, b""
+        self.is_body_released, self.gone, self.blocked, self.text = False, False, False, b""
 
-    def parted(self):
-        self.is_parted = True
+    def on_body_released(self):
+        self.is_body_released = True
 
     def is_disconnected(self):
         return self.gone
@@ -280,7 +280,7 @@
     body.end()
     assert body.may_send()
     body.attach(sink, b"head\r\n\r\n")
-    assert sink.text == text and client.is_parted and not body.may_send()
+    assert sink.text == text and client.is_body_released and not body.may_send()
 
 
 def test_a_body_whose_client_has_left_unread_goes_to_no_endpoint():
