--- a/gateway/model/shared.py
+++ b/gateway/policy/context.py
@@ -39,7 +39,7 @@
     is_retired: bool = False  # it is the one that grants and admits
 
 
-class Shared:
+class PolicyContext:
     """The objects that the parts of one controller have in common."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -51,17 +51,17 @@
         self.role = ProcessRole(self.rng.randrange(INCARNATIONS))
 
 
-class Part:
+class PolicyComponent:
     """Base of the parts of the decision package."""
 
-    def __init__(self, shared: Shared) -> None:
+    def __init__(self, context: PolicyContext) -> None:
         """Take what all parts share."""
-        self._settings = shared.settings
-        self._rng = shared.rng
-        self._turn = shared.turn
-        self._timers = shared.timers
-        self._role = shared.role
-        self._schedule = shared.timers.schedule
+        self._settings = context.settings
+        self._rng = context.rng
+        self._turn = context.turn
+        self._timers = context.timers
+        self._role = context.role
+        self._schedule = context.timers.schedule
 
     def _act(self, action: Action) -> None:
         """Let the turn return an action."""
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -6,11 +6,12 @@
 from gateway.interface import events
 from gateway.interface.actions import Action, SendGossip, SetTimer, SubscribeEndpoints
 from gateway.interface.settings import Settings
-from gateway.model.records import EndpointRecord, LeaseKey
-from gateway.model.shared import Shared
+from gateway.policy.context import PolicyContext
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 from gateway.policy.dispatch.latency import is_stall
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.gossip.pace import GossipPace
+from gateway.policy.quota.leader_bucket import LeaseKey
 from gateway.policy.requests.request_flow import RequestFlow
 from gateway.policy.timers import REQUEST_TIMERS, Timer, TimerKind
 
@@ -25,9 +26,9 @@
         """Begin with nothing known; all random numbers follow from the seed."""
         self.settings = settings
         self.errors: list[Exception] = []  # raised by events of the last turn
-        self.shared = Shared(settings, seed)
-        self.flow = RequestFlow(self.shared, self._send_entry)
-        self.pace = GossipPace(self.shared)
+        self.context = PolicyContext(settings, seed)
+        self.flow = RequestFlow(self.context, self._send_entry)
+        self.pace = GossipPace(self.context)
         self.selector = self.flow.attempts.selector
         self.directory = self.flow.attempts.selector.directory
         self._tidy_at_ms = 0.0
@@ -45,28 +46,28 @@
             except Exception as error:  # the turn's other events are owed their answers; the caller logs it
                 self.errors.append(error)
         self._on_withdrawn(withdrawn)
-        while timer := self.shared.timers.pop_expired(now_ms):
+        while timer := self.context.timers.pop_expired(now_ms):
             self._on_timer(timer)
         self.flow.dispatcher.dispatch()
         self._send_gossip()
         self._ask_for_wake_up()
-        return self.shared.turn.actions
+        return self.context.turn.actions
 
     def endpoint_counts(self, now_ms: float) -> tuple[int, int]:
         """Return how many endpoints are listed, and how many of these are avoided, for operators."""
-        self.shared.turn.now_ms = now_ms
+        self.context.turn.now_ms = now_ms
         listed = self.directory.table.listed()
         return len(listed), sum(self.selector.avoids(endpoint) for endpoint in listed)
 
     def _begin_turn(self, now_ms: float) -> None:
-        turn = self.shared.turn
-        timers = self.shared.timers
+        turn = self.context.turn
+        timers = self.context.timers
         is_first = turn.began_at_ms is None
         turn.begin(now_ms, is_stall=is_stall(turn.began_at_ms, now_ms))
         timers.on_turn(now_ms)
         self.errors = []
         if is_first:
-            self.shared.role.started_at_ms = now_ms
+            self.context.role.started_at_ms = now_ms
             timers.schedule(now_ms, TimerKind.PERIOD)
             timers.schedule(now_ms, TimerKind.SUBSCRIBE)
 
@@ -104,12 +105,12 @@
     def _on_gossip(self, event: events.GossipReceived) -> None:
         """Take in a datagram; bytes that can't be read and unknown senders change nothing."""
         message = decode(event.data)
-        is_own = event.sender == self.settings.number and not self.shared.role.has_sibling
+        is_own = event.sender == self.settings.number and not self.context.role.has_sibling
         if message is None or event.sender >= self.settings.gateways or is_own:
             return
         self.pace.on_received(event.sender)
         self.flow.attempts.limiter.on_peer_target(message.target_concurrency)
-        if not self.shared.turn.stalled:  # else they are as old as the stall is long
+        if not self.context.turn.stalled:  # else they are as old as the stall is long
             self.selector.on_observations(message.observations)
         self.flow.lease_client.on_gossip(event.sender)
         for entry in message.entries:
@@ -119,7 +120,7 @@
 
     def _send_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
         """Send an entry to a gateway, or to the process of this one that has the incarnation."""
-        role = self.shared.role
+        role = self.context.role
         is_own = gateway == self.settings.number and not role.is_retired
         if is_own and incarnation in (None, role.incarnation):
             self._on_entry(gateway, role.incarnation, entry)
@@ -134,7 +135,7 @@
         is_known = entry.plan_index < len(self.settings.plans) and entry.class_index < len(
             self.settings.classes
         )
-        if is_known and not self.shared.role.is_retired:
+        if is_known and not self.context.role.is_retired:
             self.flow.leader.on_entry(LeaseKey(sender, incarnation, entry.lease_id), entry)
 
     # -- timers
@@ -151,12 +152,12 @@
             case TimerKind.LEADER_SERVE:
                 self.flow.leader.on_timer(timer.subject)
             case TimerKind.SUBSCRIBE if self.settings.must_subscribe:
-                self.shared.turn.actions.append(SubscribeEndpoints())
+                self.context.turn.actions.append(SubscribeEndpoints())
 
     def _step(self) -> None:
         """Go on by one period."""
-        now_ms = self.shared.turn.now_ms
-        self.shared.timers.schedule(now_ms + PERIOD_MS, TimerKind.PERIOD)
+        now_ms = self.context.turn.now_ms
+        self.context.timers.schedule(now_ms + PERIOD_MS, TimerKind.PERIOD)
         self.flow.dispatcher.step()
         self.pace.step()
         self.selector.step()
@@ -169,7 +170,7 @@
         """Forget what is over."""
         self.flow.lease_client.accounts.forget(self.flow.open.values())
         self.flow.leader.forget()
-        self.shared.timers.compact(self.flow.open)
+        self.context.timers.compact(self.flow.open)
 
     # -- what a turn ends with
 
@@ -180,12 +181,12 @@
         observations = self.selector.outliers.fresh_observations()
         for gateway, entries in messages:
             data = encode(
-                self.shared.role.incarnation, self.flow.attempts.limiter.target, entries, observations
+                self.context.role.incarnation, self.flow.attempts.limiter.target, entries, observations
             )
-            self.shared.turn.actions.append(SendGossip(gateway, data))
+            self.context.turn.actions.append(SendGossip(gateway, data))
 
     def _ask_for_wake_up(self) -> None:
-        turn = self.shared.turn
-        after_ms = self.shared.timers.wake_up_in_ms(turn.now_ms, self.flow.open)
+        turn = self.context.turn
+        after_ms = self.context.timers.wake_up_in_ms(turn.now_ms, self.flow.open)
         if after_ms is not None:
             turn.actions.append(SetTimer(after_ms, WAKE_UP))
--- a/gateway/policy/decay.py
+++ b/gateway/policy/decay.py
@@ -4,6 +4,8 @@
 
 import math
 
+NEVER_MS = -math.inf  # a point of the clock before any other
+
 
 def decay(elapsed_ms: float, memory_ms: float) -> float:
     """Return the part that is left after `elapsed_ms` of what fades to 1/e within `memory_ms`."""
--- a/gateway/policy/dispatch/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -2,7 +2,7 @@
 
 import math
 
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.decay import CountWithMean, decay
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 
@@ -23,14 +23,14 @@
 PEER_GAIN = 0.1  # of each peer's target, in the mean of what is received
 
 
-class ConcurrencyLimiter(Part):
+class ConcurrencyLimiter(PolicyComponent):
     """The limit on this gateway's attempts in flight, its part of one that all gateways share.
 
     Answers may take a part of their objectives: by Little's law, their rate times that time are in flight.
     """
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
         self.in_flight = CountWithMean(MEMORY_MS)
         self.limit = 0.0
         self.target = 0.0  # attempts in flight that the answers of late account for
--- a/gateway/policy/dispatch/dispatcher.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -1,21 +1,21 @@
 """The dispatch queue: below the concurrency limit all leave it, at the limit by shares, then by weight."""
 
-from gateway.model.records import RequestPhase, RequestRecord
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.dispatch.fuzzy_share import FuzzyShare
 from gateway.policy.dispatch.latency import longest_wait_ms
 from gateway.policy.requests.attempts import AttemptManager
+from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 
 FEW_SAMPLES = 5  # with fewer dispatched in a period, the ages of those still queued count as waits too
 OVERAGE_LIMIT = 0.5  # of the concurrency limit: fuller, and nothing beyond a quota is dispatched
 
 
-class Dispatcher(Part):
+class Dispatcher(PolicyComponent):
     """The requests that are admitted and wait for room, and the shares by which they are dispatched."""
 
-    def __init__(self, shared: Shared, attempts: AttemptManager) -> None:
-        super().__init__(shared)
-        classes = shared.settings.classes
+    def __init__(self, context: PolicyContext, attempts: AttemptManager) -> None:
+        super().__init__(context)
+        classes = context.settings.classes
         self._limiter = attempts.limiter
         self._attempts = attempts
         self.queue: list[RequestRecord] = []
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -3,10 +3,10 @@
 import math
 
 from gateway.interface.events import EndpointState, EndpointUpdate
-from gateway.model.records import EndpointRecord
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.endpoints.endpoint_table import EndpointTable
 from gateway.policy.endpoints.hash_ring import arc, mixed_ring
 from gateway.policy.endpoints.slow_start import capacity_part
@@ -20,11 +20,11 @@
 FLEET_MEMORY_MS = 30_000.0  # over which the warm fleet of late counts as what carries the load
 
 
-class EndpointDirectory(Part):
+class EndpointDirectory(PolicyComponent):
     """The endpoints known to this gateway, and which of them are ready."""
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
         self.table = EndpointTable()
         self.warm: list[EndpointRecord] = []  # ready, at full capacity
         self.starting: list[EndpointRecord] = []  # ready, in slow start
--- a/gateway/policy/endpoints/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -7,7 +7,7 @@
 
 from gateway.gossip.codec import endpoint_tag
 from gateway.interface.events import EndpointState, EndpointUpdate
-from gateway.model.records import EndpointRecord
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
 
 class EndpointTable:
--- a/gateway/policy/endpoints/hash_ring.py
+++ b/gateway/policy/endpoints/hash_ring.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from gateway.gossip.codec import endpoint_tag
-from gateway.model.records import EndpointRecord
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
 GOLDEN_SECTION = 0.618  # steps of about this part of the ring keep neighbours in a row far apart
 
--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -7,9 +7,9 @@
     EndpointObservation,
     observe,
 )
-from gateway.model.records import EndpointRecord
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
 EJECTED_SHARE = 0.5  # of failures, at which an endpoint is avoided
 FIRST_HAND_WEIGHT = 1.0  # of an attempt of our own that ended
@@ -24,12 +24,12 @@
 PRIOR_OUTCOMES = 2  # an endpoint's share of failures begins as if so many outcomes had been good
 
 
-class OutlierDetector(Part):
+class OutlierDetector(PolicyComponent):
     """Learns the latency and the failures of endpoints, as decaying counts in their records."""
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
-        self.class_names = [known.name for known in shared.settings.classes]
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
+        self.class_names = [known.name for known in context.settings.classes]
         self._observations: list[tuple[float, EndpointObservation]] = []  # first-hand ones, and when
 
     def latency_factor(self, endpoint: EndpointRecord) -> float:
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -6,13 +6,14 @@
 from gateway.gossip.codec import EndpointObservation, latency_ratio_of
 from gateway.interface.events import EndpointState
 from gateway.interface.settings import Idempotency, RequestClass
-from gateway.model.records import EndpointRecord, RequestRecord
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 from gateway.policy.endpoints.directory import EndpointDirectory
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.endpoints.outlier_detection import GOSSIP_WEIGHT, OutlierDetector
 from gateway.policy.endpoints.slow_start import SlowStartLottery
+from gateway.policy.requests.request_record import RequestRecord
 
 FAILURE_COST = 200.0  # of the squared share of failures: one soon fades, a row of them does not
 NON_IDEMPOTENT_TIMES = 2  # times that cost for what can't be tried again
@@ -28,14 +29,14 @@
 Eligible = list[EndpointRecord] | None  # the only endpoints that an idempotency key leaves; None: all
 
 
-class EndpointSelector(Part):
+class EndpointSelector(PolicyComponent):
     """Chooses endpoints from its directory, by what its detector has learned."""
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
-        self._lottery = SlowStartLottery(shared)
-        self.directory = EndpointDirectory(shared)
-        self.outliers = OutlierDetector(shared)
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
+        self._lottery = SlowStartLottery(context)
+        self.directory = EndpointDirectory(context)
+        self.outliers = OutlierDetector(context)
         self.recent_sends = 0.0  # decaying count
 
     def step(self) -> None:
--- a/gateway/policy/endpoints/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -6,10 +6,11 @@
 
 from gateway.interface.events import Endpoint
 from gateway.interface.settings import Settings
-from gateway.model.records import EndpointRecord, RequestRecord
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
+from gateway.policy.requests.request_record import RequestRecord
 
 RETRY_MS = 1000.0  # until a request that was not drawn tries again
 TRIES_MEMORY_MS = 1000.0  # over which requests and tries are counted
@@ -24,11 +25,11 @@
     return floor + (1 - floor) * max(0.0, age_ms) / settings.slow_start_ms
 
 
-class SlowStartLottery(Part):
+class SlowStartLottery(PolicyComponent):
     """Draws which attempts go to endpoints in slow start."""
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
         self._requests = 0.0  # decaying count of the requests that tried,
         self._tries = 0.0  # and of all their tries
 
--- a/gateway/policy/gossip/pace.py
+++ b/gateway/policy/gossip/pace.py
@@ -7,9 +7,8 @@
 import math
 
 from gateway.gossip.codec import QuotaEntry
-from gateway.model.records import NEVER_MS
-from gateway.model.shared import Part, Shared
-from gateway.policy.decay import decay
+from gateway.policy.context import PolicyComponent, PolicyContext
+from gateway.policy.decay import NEVER_MS, decay
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 from gateway.policy.gossip.outbox import EntryOutbox
 from gateway.policy.timers import TimerKind
@@ -18,11 +17,11 @@
 TALKING_MS = 1000.0  # a gateway heard from within so long shares our peers' inboxes with us
 
 
-class GossipPace(Part):
+class GossipPace(PolicyComponent):
     """Takes out of the outbox what may be sent now."""
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
         self.outbox = EntryOutbox()
         self.received_at_ms: dict[int, float] = {}  # when other gateways last sent us anything,
         self._sent_at_ms: dict[int, float] = {}  # and we them
--- a/gateway/policy/quota/accounts.py
+++ b/gateway/policy/quota/accounts.py
@@ -10,8 +10,9 @@
 from gateway.gossip.codec import customer_tag
 from gateway.interface.events import RequestArrived
 from gateway.interface.settings import Plan
-from gateway.model.records import AccountKey, CustomerAccount, RequestRecord
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
+from gateway.policy.quota.account import AccountKey, CustomerAccount
+from gateway.policy.requests.request_record import RequestRecord
 
 DEMAND_MEMORY_MS = 3000.0  # over which a customer's demand is averaged
 LOCAL_PART = 0.03  # of the burst that all local buckets hold together: the leader may lend it as well
@@ -33,11 +34,11 @@
     return min(plan.ceiling_burst, plan.ceiling_per_s * age_ms / 1000)
 
 
-class QuotaAccounts(Part):
+class QuotaAccounts(PolicyComponent):
     """The accounts of the customers that have come to this gateway."""
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
         self.by_key: dict[AccountKey, CustomerAccount] = {}
 
     def refill(self, arrival: RequestArrived, plan: Plan) -> CustomerAccount:
--- a/gateway/policy/quota/leader.py
+++ b/gateway/policy/quota/leader.py
@@ -3,12 +3,12 @@
 import math
 
 from gateway.gossip.codec import EntryKind, QuotaEntry
-from gateway.model.protocols import EntrySender
-from gateway.model.records import LeaderBucket, LeaseKey, LeaseRequest
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 from gateway.policy.dispatch.latency import longest_wait_ms
 from gateway.policy.quota import accounts as quota_accounts
+from gateway.policy.quota.entry_sender import EntrySender
+from gateway.policy.quota.leader_bucket import LeaderBucket, LeaseKey, LeaseRequest
 from gateway.policy.timers import TimerKind
 
 RESERVE = 0.8  # of the burst that what has no weight leaves in the bucket, and less the more weight it has
@@ -17,13 +17,13 @@
 GRANTED_MIN = 64  # and how many grants it keeps in any case
 
 
-class QuotaLeader(Part):
+class QuotaLeader(PolicyComponent):
     """Lends units of customers' quotas to all gateways, to the highest weight first."""
 
-    def __init__(self, shared: Shared, send: EntrySender) -> None:
-        super().__init__(shared)
+    def __init__(self, context: PolicyContext, send: EntrySender) -> None:
+        super().__init__(context)
         self._send = send
-        self._top_weight = max(known.priority_weight for known in shared.settings.classes) or 1.0
+        self._top_weight = max(known.priority_weight for known in context.settings.classes) or 1.0
         self.buckets: dict[int, LeaderBucket] = {}
 
     def on_entry(self, key: LeaseKey, entry: QuotaEntry) -> None:
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -1,12 +1,14 @@
 """Admission by quota: from the local bucket, by a lease of the customer's quota leader, or optimistically."""
 
+from typing import Protocol
+
 from gateway.gossip.codec import EntryKind, QuotaEntry
-from gateway.model.protocols import EntrySender, QuotaListener
-from gateway.model.records import RequestRecord
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.dispatch.latency import GAIN, longest_wait_ms
 from gateway.policy.quota.accounts import QuotaAccounts, per_second
+from gateway.policy.quota.entry_sender import EntrySender
 from gateway.policy.quota.lease_table import LeaseTable
+from gateway.policy.requests.request_record import RequestRecord
 from gateway.policy.timers import TimerKind
 
 START_REPLY_MS = 60.0  # the expected time of a leader's reply, before the first one
@@ -19,20 +21,27 @@
 SILENCE_RETRY_MS = 250.0  # until a request whose leader is silent looks at the local bucket again
 
 
-class LeaseClient(Part):
+class QuotaListener(Protocol):
+    """What is notified of a request's quota."""
+
+    def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
+        """The leader grants the request's units, lets it wait for them, or denies them."""
+
+
+class LeaseClient(PolicyComponent):
     """Admits requests by what the local buckets and the quota leaders have.
 
     While a leader is silent, requests are admitted one at a time into the local bucket's debt.
     """
 
-    def __init__(self, shared: Shared, listener: QuotaListener, send: EntrySender) -> None:
-        super().__init__(shared)
-        self.accounts = QuotaAccounts(shared)
+    def __init__(self, context: PolicyContext, listener: QuotaListener, send: EntrySender) -> None:
+        super().__init__(context)
+        self.accounts = QuotaAccounts(context)
         self._listener = listener
         self._send = send
         self._silent_leaders: set[int] = set()  # that left a lease request unanswered
         self.reply_ms = START_REPLY_MS  # expected time of a leader's reply
-        self.leases = LeaseTable(shared.settings)
+        self.leases = LeaseTable(context.settings)
 
     def admit(self, request: RequestRecord, wait_ms: float) -> bool:
         """Return whether a request, which can wait for so long, is admitted at once.
--- a/gateway/policy/quota/lease_table.py
+++ b/gateway/policy/quota/lease_table.py
@@ -4,7 +4,7 @@
 
 from gateway.gossip.codec import EntryKind, QuotaEntry
 from gateway.interface.settings import Settings
-from gateway.model.records import RequestRecord
+from gateway.policy.requests.request_record import RequestRecord
 
 MAX_LEASE_ID = 0xFFFF
 
--- a/gateway/policy/requests/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -6,18 +6,14 @@
 from gateway.interface.actions import CancelAttempt, SendAttempt
 from gateway.interface.events import AttemptEnded, AttemptResult
 from gateway.interface.settings import Idempotency, KeyScope
-from gateway.model.records import (
-    AttemptKey,
-    AttemptRecord,
-    AttemptTable,
-    EndpointRecord,
-    RequestRecord,
-)
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.dispatch.concurrency_limit import ConcurrencyLimiter
 from gateway.policy.dispatch.latency import LatencyEstimates
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.endpoints.outlier_detection import FIRST_HAND_WEIGHT, SILENCE_WEIGHT, SLOW_RATIO
 from gateway.policy.endpoints.selection import Eligible, EndpointSelector
+from gateway.policy.requests.attempt_table import AttemptKey, AttemptRecord, AttemptTable
+from gateway.policy.requests.request_record import RequestRecord
 from gateway.policy.timers import TimerKind
 
 MIN_HEDGE_MS = 150.0  # a second copy is sent no sooner
@@ -26,14 +22,14 @@
 MAX_RETRIES_SAVED = 20.0  # how many may be saved up
 
 
-class AttemptManager(Part):
+class AttemptManager(PolicyComponent):
     """Starts attempts, and learns from their ends."""
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
-        self.limiter = ConcurrencyLimiter(shared)
-        self.selector = EndpointSelector(shared)
-        self.latencies = LatencyEstimates(shared.settings.classes)
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
+        self.limiter = ConcurrencyLimiter(context)
+        self.selector = EndpointSelector(context)
+        self.latencies = LatencyEstimates(context.settings.classes)
         self.table = AttemptTable()
         self.retry_budget = MAX_RETRIES_SAVED / 2
 
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -12,18 +12,15 @@
     ResponseStarted,
 )
 from gateway.interface.settings import KeyScope
-from gateway.model.protocols import EntrySender
-from gateway.model.records import (
-    AttemptKey,
-    RequestPhase,
-    RequestRecord,
-)
-from gateway.model.shared import Part, Shared
+from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.dispatch.dispatcher import Dispatcher
 from gateway.policy.dispatch.latency import ANSWER_PART
+from gateway.policy.quota.entry_sender import EntrySender
 from gateway.policy.quota.leader import QuotaLeader
 from gateway.policy.quota.lease_client import LeaseClient
+from gateway.policy.requests.attempt_table import AttemptKey
 from gateway.policy.requests.attempts import AttemptManager
+from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 from gateway.policy.timers import TimerKind
 
 MAX_QUEUE_PART = 0.45  # of a request's time that it may wait for at most
@@ -31,18 +28,18 @@
 DEADLINE_TICKS = 2  # so many ticks before its deadline a request has its final answer
 
 
-class RequestFlow(Part):
+class RequestFlow(PolicyComponent):
     """The open requests, and the parts that decide on them."""
 
-    def __init__(self, shared: Shared, send: EntrySender) -> None:
-        super().__init__(shared)
-        self._classes = {known.name: known for known in shared.settings.classes}
-        self._plans = {plan.name: plan for plan in shared.settings.plans}
+    def __init__(self, context: PolicyContext, send: EntrySender) -> None:
+        super().__init__(context)
+        self._classes = {known.name: known for known in context.settings.classes}
+        self._plans = {plan.name: plan for plan in context.settings.plans}
         self.open: dict[int, RequestRecord] = {}
-        self.attempts = AttemptManager(shared)
-        self.dispatcher = Dispatcher(shared, self.attempts)
-        self.leader = QuotaLeader(shared, send)
-        self.lease_client = LeaseClient(shared, listener=self, send=send)
+        self.attempts = AttemptManager(context)
+        self.dispatcher = Dispatcher(context, self.attempts)
+        self.leader = QuotaLeader(context, send)
+        self.lease_client = LeaseClient(context, listener=self, send=send)
 
     def on_arrival(self, arrival: RequestArrived) -> None:
         """Take in a new request: it is admitted, waits for its quota, or is rejected at once."""
--- a/gateway/policy/state_transfer/gateway_state.py
+++ b/gateway/policy/state_transfer/gateway_state.py
@@ -10,15 +10,9 @@
 from typing import Any
 
 from gateway.gossip.codec import EntryKind, QuotaEntry
-from gateway.model.records import (
-    AccountKey,
-    ClassCounts,
-    CustomerAccount,
-    EndpointRecord,
-    LeaderBucket,
-    LeaseKey,
-    LeaseRequest,
-)
+from gateway.policy.endpoints.endpoint_record import ClassCounts, EndpointRecord
+from gateway.policy.quota.account import AccountKey, CustomerAccount
+from gateway.policy.quota.leader_bucket import LeaderBucket, LeaseKey, LeaseRequest
 
 Row = list[Any]
 
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -4,9 +4,9 @@
 open stays with the process that took it, and asks the next one where its gateway is the customer's leader.
 """
 
-from gateway.model.records import LeaderBucket
-from gateway.model.shared import INCARNATIONS
+from gateway.policy.context import INCARNATIONS
 from gateway.policy.controller import Controller
+from gateway.policy.quota.leader_bucket import LeaderBucket
 from gateway.policy.quota.lease_table import MAX_LEASE_ID
 from gateway.policy.state_transfer.gateway_state import (
     AccountState,
@@ -25,9 +25,9 @@
     plans = controller.settings.plans
     state = GatewayState(
         exported_at_ms=now_ms,
-        incarnation=controller.shared.role.incarnation,
+        incarnation=controller.context.role.incarnation,
         last_lease_id=flow.lease_client.leases.last_id,
-        started_at_ms=controller.shared.role.started_at_ms,
+        started_at_ms=controller.context.role.started_at_ms,
         lease_reply_ms=flow.lease_client.reply_ms,
         accounts=tuple(
             AccountState.of(key, account) for key, account in flow.lease_client.accounts.by_key.items()
@@ -49,15 +49,15 @@
         shares={name: share.share for name, share in flow.dispatcher.shares.items()},
         expected_latencies_ms=dict(flow.attempts.latencies.expected_ms),
     )
-    controller.shared.role.is_retired = True
-    controller.shared.role.has_sibling = True
+    controller.context.role.is_retired = True
+    controller.context.role.has_sibling = True
     _empty(controller, now_ms)
     return state
 
 
 def resume(controller: Controller, now_ms: float) -> None:
     """Go on as after a restart: the next process has ended, and what it spent is not known."""
-    role = controller.shared.role
+    role = controller.context.role
     role.is_retired = False
     role.has_sibling = False
     role.started_at_ms = now_ms
@@ -66,20 +66,20 @@
 
 def on_predecessor_ended(controller: Controller) -> None:
     """Take note that the process before has ended."""
-    controller.shared.role.has_sibling = False
+    controller.context.role.has_sibling = False
 
 
 def take_over(controller: Controller, now_ms: float, state: GatewayState) -> None:
     """Go on with what the process before has left."""
     shift_ms = now_ms - state.exported_at_ms  # the two clocks may have been set apart
-    role = controller.shared.role
+    role = controller.context.role
     role.has_sibling = True
     role.started_at_ms = state.started_at_ms + shift_ms
     role.incarnation = (state.incarnation + 1) % INCARNATIONS  # never the same, whatever the seeds
     lease_client = controller.flow.lease_client
     lease_client.leases.last_id = (state.last_lease_id + LEASE_ID_DISTANCE) % MAX_LEASE_ID
     lease_client.reply_ms = state.lease_reply_ms
-    controller.shared.turn.now_ms = now_ms
+    controller.context.turn.now_ms = now_ms
     _restore_accounts(controller, state, shift_ms)
     _restore_buckets(controller, state, shift_ms)
     _restore_endpoints(controller, state, shift_ms)
--- a/tests/test_hot_restart_state.py
+++ b/tests/test_hot_restart_state.py
@@ -8,8 +8,8 @@
 from gateway.interface.actions import Reject, SendAttempt, SendGossip
 from gateway.interface.events import AttemptEnded, AttemptResult, GossipReceived, RequestArrived
 from gateway.interface.settings import Plan
-from gateway.model.records import LeaderBucket
 from gateway.policy.controller import Controller
+from gateway.policy.quota.leader_bucket import LeaderBucket
 from gateway.policy.state_transfer import hot_restart
 from gateway.policy.state_transfer.gateway_state import GatewayState
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -33,13 +33,13 @@
     TimerFired,
 )
 from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass
-from gateway.model.records import EndpointRecord
-from gateway.model.shared import Shared
+from gateway.policy.context import PolicyContext
 from gateway.policy.controller import Controller
 from gateway.policy.dispatch.concurrency_limit import ConcurrencyLimiter
 from gateway.policy.dispatch.fuzzy_sets import CENTRES
 from gateway.policy.dispatch.fuzzy_share import FuzzyShare
 from gateway.policy.endpoints.directory import GATEWAYS_PER_ENDPOINT, EndpointDirectory
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.quota.accounts import FORGET_MS
 from gateway.policy.timers import TimerKind
 
@@ -62,13 +62,13 @@
 
 def limiter(gateways):
     """A concurrency limiter, and the turn that has its time."""
-    shared = Shared(settings(gateways=gateways), 1)
-    return ConcurrencyLimiter(shared), shared.turn
+    context = PolicyContext(settings(gateways=gateways), 1)
+    return ConcurrencyLimiter(context), context.turn
 
 
 def forget(controller, now):
     """Forget customers as if that time had come."""
-    controller.shared.turn.now_ms = now
+    controller.context.turn.now_ms = now
     controller.flow.lease_client.accounts.forget(controller.flow.open.values())
     controller.flow.leader.forget()
 
@@ -422,8 +422,8 @@
     forget(c, 1000 + wait_s * 500)
     assert len(c.flow.lease_client.accounts.by_key) == len(c.flow.leader.buckets) == 1  # half full
     late = 1000 + max(wait_s * 1000, FORGET_MS) + 5000
-    while c.shared.timers.first_at_ms < 2000:  # what waits for the store is served or gone by then
-        c.handle(c.shared.timers.first_at_ms, [])
+    while c.context.timers.first_at_ms < 2000:  # what waits for the store is served or gone by then
+        c.handle(c.context.timers.first_at_ms, [])
     forget(c, late)
     assert len(c.flow.lease_client.accounts.by_key) == 1  # its request is open
     for request in list(c.flow.open.values()):
@@ -452,9 +452,9 @@
         c.handle(1100 + 100 * n, [])
     assert not c.directory.table.known and not c.directory.table.by_tag
     for n in range(1000):
-        c.shared.timers.schedule(600_000.0 + n, TimerKind.DEADLINE, 7)
-    c.shared.timers.compact(c.flow.open)
-    assert len(c.shared.timers) < 300
+        c.context.timers.schedule(600_000.0 + n, TimerKind.DEADLINE, 7)
+    c.context.timers.compact(c.flow.open)
+    assert len(c.context.timers) < 300
 
 
 def test_who_cannot_have_its_quota_in_time_is_told_at_once_and_who_waited_in_vain_when_that_is_sure():
@@ -470,9 +470,9 @@
     )
     kind = named(c.settings.classes)["look"]
     for _ in range(200):  # until its home has dropped them
-        if c.shared.timers.first_at_ms > 1001 + kind.latency_objective_ms * (1 - 0.45) + 10:
+        if c.context.timers.first_at_ms > 1001 + kind.latency_objective_ms * (1 - 0.45) + 10:
             break
-        c.handle(c.shared.timers.first_at_ms, [])
+        c.handle(c.context.timers.first_at_ms, [])
     assert not any(request.awaits_quota for request in c.flow.open.values())
 
 
@@ -625,7 +625,7 @@
 
 def parts(gateways, servers):
     return [
-        EndpointDirectory(Shared(settings(number=n, gateways=gateways), 1)).preferred_part(servers)
+        EndpointDirectory(PolicyContext(settings(number=n, gateways=gateways), 1)).preferred_part(servers)
         for n in range(gateways)
     ]
 
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -26,7 +26,7 @@
     assert sorted(listed) == sorted(name for name in files if not name.endswith("__init__.py"))
 
 
-PURE = ("gossip", "interface", "model", "policy", "simulator")
+PURE = ("gossip", "interface", "policy", "simulator")
 
 
 def test_the_decisions_need_the_standard_library_only():
