--- /dev/null
+++ b/tests/interface/test_settings_reader.py
@@ -0,0 +1,31 @@
+"""Tests of interface: settings reader."""
+
+import pytest
+from support.policy_settings import settings
+
+from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass
+
+
+@pytest.mark.parametrize(
+    ("bad", "key"),
+    [
+        (dict(classes=()), "classes"),
+        (dict(plans=()), "plans"),
+        (dict(gateways=0), "gateways"),
+        (dict(number=3), "number"),
+        (dict(max_attempts=0), "max_attempts"),
+        (dict(slow_start_ms=-1), "slow_start_ms"),
+    ],
+)
+def test_invalid_settings_are_reported(bad, key):
+    with pytest.raises(ValueError, match=key):
+        settings(**bad)
+
+
+def test_invalid_plans_and_classes_are_reported():
+    with pytest.raises(ValueError, match="rate_per_s"):
+        Plan("p", rate_per_s=-1)
+    with pytest.raises(ValueError, match="idempotency"):
+        RequestClass("k", 1, 1, 1, "sometimes", key_scope=KeyScope.ALL)
+    with pytest.raises(ValueError, match="latency_objective_ms"):
+        RequestClass("k", float("nan"), 1, 1, Idempotency.IDEMPOTENT)
--- /dev/null
+++ b/tests/network/admin/test_endpoint.py
@@ -0,0 +1,81 @@
+"""Tests of admin: endpoint."""
+
+import pytest
+from support.admin_scenarios import call, figures
+from support.fakes import HOST, Client, Gate, Script, config, run
+
+from gateway.config import config_from
+from gateway.network.admin import endpoint as door
+from gateway.network.gateway import RESERVED_DESCRIPTORS
+
+
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n", 200),
+        (b"GET /_ready?x=1 HTTP/1.1\r\nHost: h\r\n\r\n", 200),
+        (b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n", 404),
+        (b"POST /_vars HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab", 405),
+        (b"what is this\r\n\r\n", 400),
+        (b"GET /_ready HTTP/1.1\r\nbroken\r\n\r\n", 400),
+        (b"GET /_ready HTTP/1.1\r\nA: " + bytes(20_000).replace(b"\0", b"a"), 431),
+    ],
+)
+def test_admin_calls_get_their_status(data, status):
+    async def scenario():
+        async with Gate(Script()) as gate:
+            assert (await call(gate, data))[0] == status
+
+    run(scenario())
+
+
+def test_readiness_is_503_before_the_process_serves():
+    async def scenario():
+        async with Gate(Script()) as gate:
+            gate.gateway.ready = False
+            assert (await call(gate, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
+
+    run(scenario())
+
+
+def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch):
+    monkeypatch.setattr(door, "CALL_MS", 200.0)
+
+    async def end_of(holder):
+        try:
+            return await holder.reader.read()
+        except ConnectionError:
+            return b""
+
+    async def scenario():
+        async with Gate(Script()) as gate:
+            holders = [await Client().open(gate.door_port) for _ in range(3 * door.MOST)]
+            for holder in holders:
+                holder.send(b"GET /_ready HT")
+            assert await figures(gate)
+            assert len(gate.door.callers) <= door.MOST
+            told = [await end_of(holder) for holder in holders]
+            assert all(text == b"" or b" 408 " in text for text in told) and any(told)
+
+    run(scenario())
+
+
+def test_admin_address_comes_from_configuration_or_environment():
+    assert config_from(config(), {}).control is None
+    assert config_from(config(control=f"{HOST}:9100"), {}).control == (HOST, 9100)
+    assert config_from(config(), {"BALANCER_CONTROL": f"{HOST}:9101"}).control == (HOST, 9101)
+    with pytest.raises(ValueError, match=r"config\.control"):
+        config_from(config(control="door"), {})
+
+
+@pytest.mark.parametrize("sockets", [96, 192, 256, 1024])
+def test_descriptors_for_the_admin_endpoint_are_reserved(sockets):
+    """Under a limit of 192 they could have held 168, with 26 to 28 in use beside them."""
+
+    async def scenario():
+        gateway = Gate(Script(), limits={"sockets": sockets}).gateway
+        rest = sockets - gateway.connections.max_admitted - gateway.upstreams._max
+        assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + door.MOST + 3
+        assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)  # as before
+
+    run(scenario())
--- a/tests/test_hot_restart.py
+++ b/tests/network/hot_restart/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""One process follows another while that one serves."""
+"""Tests of hot_restart: hot restart."""
 
 import asyncio
 import contextlib
@@ -9,8 +9,20 @@
 import socket
 
 import pytest
-from fakes import HOST, Client, FakeDiscovery, FakeWorker, answer, config, entry, listing, request, run, told
-from test_process import free_port, start
+from support.fakes import (
+    HOST,
+    Client,
+    FakeDiscovery,
+    FakeWorker,
+    answer,
+    config,
+    entry,
+    listing,
+    request,
+    run,
+    told,
+)
+from support.process_scenarios import free_port, start
 
 READY = b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
@@ -89,7 +101,7 @@
     run(whole())
 
 
-def test_the_next_process_gets_the_connections_and_the_old_one_answers_what_it_took(tmp_path):
+def test_successor_gets_the_connections_and_predecessor_answers_its_requests(tmp_path):
     async def scenario(site):
         old, old_door = await site.start()
         kept, busy = (await site.asks())[1], (await site.asks())[1]
@@ -111,7 +123,7 @@
     at_site(tmp_path, scenario)
 
 
-def test_a_third_process_follows_the_second(tmp_path):
+def test_third_process_follows_the_second(tmp_path):
     async def scenario(site):
         first, _ = await site.start()
         client = (await site.asks())[1]
@@ -127,7 +139,7 @@
 
 
 @pytest.mark.parametrize("trouble", [signal.SIGSTOP, signal.SIGKILL])
-def test_a_mute_or_dead_process_before_keeps_no_start_up(tmp_path, trouble):
+def test_unresponsive_predecessor_does_not_delay_the_start(tmp_path, trouble):
     async def scenario(site):
         old, _ = await site.start()
         old.send_signal(trouble)
@@ -141,7 +153,7 @@
     at_site(tmp_path, scenario)
 
 
-def test_something_else_in_its_place_keeps_no_start_up(tmp_path):
+def test_foreign_file_in_place_of_the_socket_does_not_delay_the_start(tmp_path):
     async def scenario(site):
         path = tmp_path / f"gatekeeper-{HOST}-{site.port}"
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as mute:
@@ -154,7 +166,7 @@
     at_site(tmp_path, scenario)
 
 
-def test_the_old_process_serves_on_if_the_next_one_dies(tmp_path):
+def test_predecessor_resumes_service_when_its_successor_dies(tmp_path):
     async def scenario(site):
         old, door = await site.start()
         new, _ = await site.start()
@@ -170,7 +182,7 @@
     at_site(tmp_path, scenario)
 
 
-def test_descriptors_of_both_do_not_pile_up(tmp_path):
+def test_descriptors_of_both_processes_stay_within_the_limit(tmp_path):
     async def scenario(site):
         def held(process):
             return len(os.listdir(f"/proc/{process.pid}/fd"))
@@ -188,7 +200,7 @@
     at_site(tmp_path, scenario)
 
 
-def test_the_file_is_for_the_owner_alone(tmp_path):
+def test_socket_file_is_accessible_to_its_owner_only(tmp_path):
     async def scenario(site):
         await site.start()
         (path,) = pathlib.Path(tmp_path).glob("gatekeeper-*")
--- a/tests/test_http_forms.py
+++ b/tests/network/test_http_forms.py
@@ -1,7 +1,7 @@
-"""All forms of HTTP/1.1 that clients and workers may use."""
+"""Tests of network: http forms."""
 
 import pytest
-from fakes import FakeWorker, Gate, Script, answer, entry, request, run
+from support.fakes import FakeWorker, Gate, Script, answer, entry, request, run
 
 from gateway.network.clients.connection import MAX_HEAD
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("blank", [" ", "   "])
-def test_blanks_round_a_header_value_are_no_part_of_it(blank):
+def test_blanks_around_a_header_value_are_stripped(blank):
     """Seen on a day with slow peers: 'X-Tier: basis ' was turned away as no plan, a length as no number."""
 
     async def scenario(worker, _gate, client):
@@ -30,7 +30,7 @@
     with_worker(scenario)
 
 
-def test_a_large_message_that_is_turned_away_gets_one_answer_and_no_second():
+def test_rejected_large_message_gets_exactly_one_response():
     """Seen there too: behind the 404 of a message longer than a head may be came a 431."""
 
     async def scenario(worker, _gate, client):
--- a/tests/test_hot_restart_state.py
+++ b/tests/policy/state_transfer/test_hot_restart.py
@@ -1,9 +1,9 @@
-"""What the module of one process leaves to that of the next: the two grant no more than one would."""
+"""Tests of state_transfer: hot restart."""
 
 import json
 
-from test_policy import SIX_ENDPOINTS
-from test_rules import settings
+from support.policy_scenarios import SIX_ENDPOINTS
+from support.policy_settings import settings
 
 from gateway.interface.actions import Reject, SendAttempt, SendGossip
 from gateway.interface.events import AttemptEnded, AttemptResult, GossipReceived, RequestArrived
@@ -14,6 +14,8 @@
 from gateway.policy.state_transfer.gateway_state import GatewayState
 
 START = 10_000.0
+
+
 SETTINGS = settings(
     gateways=2,
     plans=(
@@ -53,7 +55,7 @@
     return sent
 
 
-def test_what_was_spent_is_not_granted_again():
+def test_spent_units_are_not_granted_again():
     old, new, fresh = gateway(), gateway(2), gateway(3)
     now = START + 10
     assert let_in(old, range(12), now)
@@ -62,7 +64,7 @@
     assert len(let_in(fresh, range(200, 203), now)) == 3
 
 
-def test_the_process_before_grants_nothing_more_and_asks_the_next_one():
+def test_retired_process_grants_nothing_and_asks_its_successor():
     old, new = gateway(), gateway(2)
     now = START + 10
     handed_over(old, new, now)
@@ -81,7 +83,7 @@
     assert level <= 11.01  # its units are taken where the store is now
 
 
-def test_a_request_that_waits_gets_its_word_from_the_next_process():
+def test_waiting_request_gets_its_reply_from_the_successor():
     old, new = gateway(), gateway(2)
     now = START + 10
     let_in(old, range(12), now)
@@ -96,7 +98,7 @@
     assert sends(old.handle(now + 4 * step, [GossipReceived(0, told[0].data)])) == [50]
 
 
-def test_ceilings_pass_on_and_come_back_empty():
+def test_ceilings_are_transferred_and_resume_empty():
     old, new = gateway(), gateway(2)
     now = START + 4000
     old.handle(now, arrivals([1], "c", now, "capped"))
@@ -119,7 +121,7 @@
     )  # the quota's store may have been lent
 
 
-def test_clocks_that_are_set_apart_fill_no_store():
+def test_clock_difference_fills_no_bucket():
     old, new = gateway(), Controller(SETTINGS, 2)
     now, ahead = START + 10, 1e9
     let_in(old, range(12), now)
--- a/tests/test_simulator.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter, run as the deploy file's `sim` runs it."""
+"""Tests of simulator: adapter."""
 
 import json
 import pathlib
@@ -8,7 +8,9 @@
 
 import pytest
 
-ROOT = pathlib.Path(__file__).parent.parent
+ROOT = pathlib.Path(__file__).parents[2]
+
+
 INFO = {
     "balancers": 2,
     "myNumber": 0,
@@ -20,6 +22,8 @@
     "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True},
     "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
 }
+
+
 FLEET_LINES = "FLEET\tcached\t1\t1\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-\n"
 
 
@@ -34,7 +38,7 @@
     return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True, capture_output=True)
 
 
-def test_a_request_is_sent_on_and_the_end_of_input_exits_0():
+def test_request_is_sent_and_end_of_input_exits_0():
     done = sim(
         "SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
         "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
@@ -59,13 +63,13 @@
         ("WORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("WORKER", "place")),
     ],
 )
-def test_what_cannot_be_read_is_named_and_ends_the_process(line, names):
+def test_unreadable_line_is_reported_and_ends_the_process(line, names):
     done = sim(start() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
     assert done.returncode != 0 and "Traceback" not in done.stderr
     assert all(name in done.stderr for name in names)
 
 
-def test_an_unknown_message_is_reported_once_and_skipped():
+def test_unknown_message_is_reported_once_and_skipped():
     done = sim(start() + "SYNC\t1004\nSWITCH_TO\t0\nPARADE\t1\nPARADE\t2\nYOUR_TURN\n")
     assert done.returncode == 0 and done.stderr.count("PARADE") == 1
 
@@ -95,12 +99,12 @@
         (("rules",), 3, "rules"),
     ],
 )
-def test_settings_that_cannot_be_right_are_named(path, value, name):
+def test_invalid_settings_are_reported_by_their_path(path, value, name):
     done = sim(start(changed(path, value)))
     assert done.returncode != 0 and name in done.stderr and "Traceback" not in done.stderr
 
 
-def test_a_fault_of_the_module_is_told_on_the_wire(monkeypatch, capsys):
+def test_controller_error_is_reported_on_the_wire(monkeypatch, capsys):
     import io
 
     from gateway.policy.controller import Controller
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-ins and scenarios that tests share."""
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -16,9 +16,21 @@
 import tomllib
 
 import pytest
-from fakes import HOST, Client, FakeDiscovery, FakeWorker, Gate, Script, answer, config, entry, request, run
-from test_process import ROOT, free_port, start, tell_list
-from test_rules import settings
+from support.fakes import (
+    HOST,
+    Client,
+    FakeDiscovery,
+    FakeWorker,
+    Gate,
+    Script,
+    answer,
+    config,
+    entry,
+    request,
+    run,
+)
+from support.policy_settings import settings
+from support.process_scenarios import ROOT, free_port, start, tell_list
 
 from gateway.gossip import codec as messages
 from gateway.interface.actions import Fail, Reject, SendAttempt, SetTimer
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -16,7 +16,7 @@
 def test_size_limits():
     for path in ROOT.glob("gateway/**/*.py"):  # one file of 800 held most of the decisions before
         assert filled_lines(path) <= 600, path
-    for path in [*ROOT.glob("gateway/**/*.py"), *ROOT.glob("tests/*.py")]:
+    for path in [*ROOT.glob("gateway/**/*.py"), *ROOT.glob("tests/**/*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,6 +7,7 @@
 from dataclasses import replace
 
 import pytest
+from support.policy_settings import GRACE, SLACK, TICK, settings
 
 from gateway.interface.actions import CancelAttempt, Fail, Reject, SendAttempt, SendGossip, SetTimer
 from gateway.interface.events import (
@@ -21,73 +22,9 @@
     ResponseStarted,
     TimerFired,
 )
-from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
+from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass
 from gateway.policy.controller import Controller
 
-TICK, GRACE, SLACK = 4.0, 250.0, 16.0
-
-
-def settings(number=0, gateways=3, **more):
-    """Settings with every kind of repeat and plan."""
-    values = dict(
-        gateways=gateways,
-        number=number,
-        zone="z0",
-        tick_ms=TICK,
-        classes=(
-            RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
-            RequestClass(
-                "book",
-                900,
-                2500,
-                4,
-                Idempotency.WITH_KEY,
-                key_scope=KeyScope.CELL,
-                deduplication_window_ms=1200,
-            ),
-            RequestClass(
-                "hold",
-                900,
-                2500,
-                4,
-                Idempotency.WITH_KEY,
-                key_scope=KeyScope.ZONE,
-                deduplication_window_ms=1200,
-            ),
-            RequestClass(
-                "seat",
-                900,
-                2500,
-                4,
-                Idempotency.WITH_KEY,
-                key_scope=KeyScope.ALL,
-                deduplication_window_ms=1200,
-            ),
-            RequestClass("debit", 900, 2500, 3, Idempotency.NON_IDEMPOTENT),
-            RequestClass("feed", 900, 2500, 1, Idempotency.IDEMPOTENT, streamed=True),
-        ),
-        plans=(
-            Plan("rated", 4, 12, 0, 1.0, 0.3, 0.1),
-            Plan("capped", 8, 16, 0, 1.5, 0.5, 0.1, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
-            Plan("open", max_in_flight=4, weight_factor=1.2, overage_cost=1.0),
-        ),
-        slow_start_ms=8000,
-        slow_start_floor=0.25,
-        overload_multiple=3,
-        overload_window_ms=1500,
-        max_attempts=4,
-        max_units=4,
-        may_gossip=True,
-        may_hedge=True,
-        post_paid=True,
-        max_retry_after_ms=1000,
-        gossip_inbox_per_s=60,
-        report_how="answers",
-        report_fields=("util", "inflight"),
-    )
-    values.update(more)
-    return Settings(**values)
-
 
 class Checker:
     """Keeps its own books of what was sent and answered; raises at the first broken rule."""
