--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -2,7 +2,7 @@
 
 import pytest
 from support.admin_scenarios import call, figures
-from support.fakes import HOST, Client, Gate, Script, config, run
+from support.fakes import HOST, Client, Gate, Script, config
 
 from gateway.config import config_from
 from gateway.network.admin import endpoint as door
@@ -21,24 +21,18 @@
         (b"GET /_ready HTTP/1.1\r\nA: " + bytes(20_000).replace(b"\0", b"a"), 431),
     ],
 )
-def test_admin_calls_get_their_status(data, status):
-    async def scenario():
-        async with Gate(Script()) as gate:
-            assert (await call(gate, data))[0] == status
+async def test_admin_calls_get_their_status(data, status):
+    async with Gate(Script()) as gate:
+        assert (await call(gate, data))[0] == status
 
-    run(scenario())
 
+async def test_readiness_is_503_before_the_process_serves():
+    async with Gate(Script()) as gate:
+        gate.gateway.ready = False
+        assert (await call(gate, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
 
-def test_readiness_is_503_before_the_process_serves():
-    async def scenario():
-        async with Gate(Script()) as gate:
-            gate.gateway.ready = False
-            assert (await call(gate, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
 
-    run(scenario())
-
-
-def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch):
+async def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch):
     monkeypatch.setattr(door, "CALL_MS", 200.0)
 
     async def end_of(holder):
@@ -47,17 +41,14 @@
         except ConnectionError:
             return b""
 
-    async def scenario():
-        async with Gate(Script()) as gate:
-            holders = [await Client().open(gate.door_port) for _ in range(3 * door.MOST)]
-            for holder in holders:
-                holder.send(b"GET /_ready HT")
-            assert await figures(gate)
-            assert len(gate.door.callers) <= door.MOST
-            told = [await end_of(holder) for holder in holders]
-            assert all(text == b"" or b" 408 " in text for text in told) and any(told)
-
-    run(scenario())
+    async with Gate(Script()) as gate:
+        holders = [await Client().open(gate.door_port) for _ in range(3 * door.MOST)]
+        for holder in holders:
+            holder.send(b"GET /_ready HT")
+        assert await figures(gate)
+        assert len(gate.door.callers) <= door.MOST
+        told = [await end_of(holder) for holder in holders]
+        assert all(text == b"" or b" 408 " in text for text in told) and any(told)
 
 
 def test_admin_address_comes_from_configuration_or_environment():
@@ -69,13 +60,9 @@
 
 
 @pytest.mark.parametrize("sockets", [96, 192, 256, 1024])
-def test_descriptors_for_the_admin_endpoint_are_reserved(sockets):
+async def test_descriptors_for_the_admin_endpoint_are_reserved(sockets):
     """Under a limit of 192 they could have held 168, with 26 to 28 in use beside them."""
-
-    async def scenario():
-        gateway = Gate(Script(), limits={"sockets": sockets}).gateway
-        rest = sockets - gateway.connections.max_admitted - gateway.upstreams._max
-        assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + door.MOST + 3
-        assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)  # as before
-
-    run(scenario())
+    gateway = Gate(Script(), limits={"sockets": sockets}).gateway
+    rest = sockets - gateway.connections.max_admitted - gateway.upstreams._max
+    assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + door.MOST + 3
+    assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)  # as before
--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -4,7 +4,6 @@
 
 import pytest
 from support.fakes import answer, request
-from support.gateway_scenarios import one_worker
 
 from gateway.interface.events import (
     RequestArrived,
@@ -36,39 +35,33 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_unacceptable_request_gets_an_error_and_harms_no_other_connection(name, monkeypatch):
+async def test_unacceptable_request_gets_an_error_and_harms_no_other_connection(
+    name, monkeypatch, endpoint, gate, client
+):
     data, status = BAD[name]
     monkeypatch.setattr("gateway.network.clients.connection.MAX_BODY", 64 * 1024)
+    other = await gate.client()
+    other.send(request())
+    _, writer = await endpoint.asked()
+    assert (await client.send(data).answer())[0] == status and await client.ends()
+    writer.write(answer())
+    assert (await other.answer())[0] == 200
+    assert len(gate.gateway.open) == 0 and endpoint.requests.empty()
 
-    async def scenario(worker, gate, client):
-        other = await gate.client()
-        other.send(request())
-        _, writer = await worker.asked()
-        assert (await client.send(data).answer())[0] == status and await client.ends()
-        writer.write(answer())
-        assert (await other.answer())[0] == 200
-        assert len(gate.gateway.open) == 0 and worker.requests.empty()
 
-    one_worker(scenario)
-
-
-def test_id_of_an_open_or_recent_request_is_rejected():
+async def test_id_of_an_open_or_recent_request_is_rejected(endpoint, gate, client):
     """Seen with bad clients: such a request went on to a worker as a second copy of another's."""
-
-    async def scenario(worker, gate, client):
-        other = await gate.client()
-        client.send(request("00000000000000aa"))
-        _, writer = await worker.asked()
-        assert (await other.send(request("00000000000000aa", "/debit", body=b"x")).answer())[0] == 409
-        writer.write(answer(body=b"first"))
-        assert (await client.answer())[2] == b"first"
-        assert (await other.send(request("00000000000000aa")).answer())[0] == 409
-        assert worker.requests.empty()
-        gate.gateway._forget_ids()
-        gate.gateway._forget_ids()
-        assert not gate.gateway._ids.to_json()
-
-    one_worker(scenario)
+    other = await gate.client()
+    client.send(request("00000000000000aa"))
+    _, writer = await endpoint.asked()
+    assert (await other.send(request("00000000000000aa", "/debit", body=b"x")).answer())[0] == 409
+    writer.write(answer(body=b"first"))
+    assert (await client.answer())[2] == b"first"
+    assert (await other.send(request("00000000000000aa")).answer())[0] == 409
+    assert endpoint.requests.empty()
+    gate.gateway._forget_ids()
+    gate.gateway._forget_ids()
+    assert not gate.gateway._ids.to_json()
 
 
 RUDE = {
@@ -91,67 +84,52 @@
 
 
 @pytest.mark.parametrize("name", RUDE)
-def test_malformed_request_is_rejected_before_the_controller_on_a_kept_connection(name):
+async def test_malformed_request_is_rejected_before_the_controller_on_a_kept_connection(
+    name, endpoint, gate, client
+):
     data, status = RUDE[name]
+    assert (await client.send(data).answer())[0] == status
+    client.send(request())
+    _, writer = await endpoint.asked()
+    writer.write(answer())
+    assert (await client.answer())[0] == 200
+    assert len([event for event in gate.script.events if isinstance(event, RequestArrived)]) == 1
 
-    async def scenario(worker, gate, client):
-        assert (await client.send(data).answer())[0] == status
-        client.send(request())
-        _, writer = await worker.asked()
-        writer.write(answer())
-        assert (await client.answer())[0] == 200
-        assert len([event for event in gate.script.events if isinstance(event, RequestArrived)]) == 1
 
-    one_worker(scenario)
-
-
-def test_repeated_bad_requests_are_read_with_backoff():
+async def test_repeated_bad_requests_are_read_with_backoff(gate, client):
     """Each request that is turned away doubles the pause before the next is read; each error goes at once."""
-
-    async def scenario(worker, gate, client):
-        gate.gateway.timers = alarms = Timers(asyncio.get_running_loop(), gate.gateway.clock)
-        waits, at = [], alarms.at
-        alarms.at = lambda at_ms, call: (waits.append(round(at_ms - gate.gateway.clock.now())), at(0.0, call))
-        for _ in range(7):
-            assert (await client.send(request(path="/none")).answer())[0] == 404
-        assert waits == [50, 100, 200, 400, 800, 1000, 1000]
-
-    one_worker(scenario)
-
-
-def test_bad_request_with_pipelined_bytes_gets_its_error_and_a_400():
-    async def scenario(worker, gate, client):
-        client.send(request(path="/none") * 300)
-        assert (await client.answer())[0] == 404
-        assert (await client.answer())[0] == 400 and await client.ends()
-        assert worker.requests.empty()
-
-    one_worker(scenario)
-
-
-def test_trailers_and_chunk_extensions_are_bounded_and_ignored():
-    async def scenario(worker, gate, client):
-        head = request(path="/debit", extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
-        client.send(head + b"1\r\nx\r\n0\r\nX-Tier: other\r\nIdempotency-Key: k\r\n\r\n")
-        asked, writer = await worker.asked()
-        assert asked.body == b"x" and "idempotency-key" not in asked.headers
-        writer.write(answer())
-        assert (await client.answer())[0] == 200
-        client.send(head + b"0\r\n" + b"X-Tier: other\r\n" * 2000)
-        assert (await client.answer())[0] == 431
-        client = await gate.client()
-        client.send(head + (b"1;" + b"x" * 9000 + b"\r\nx\r\n") * 70)
-        assert (await client.answer())[0] == 413
-
-    one_worker(scenario)
-
-
-def test_error_reaches_a_client_that_sends_its_large_body_to_the_end():
-    async def scenario(worker, gate, client):
-        client.send(request(path="/debit", body=b"x").replace(b"Length: 1", b"Length: 70000000"))
-        for _ in range(64):
-            client.send(bytes(256 * 1024))
-            await client.writer.drain()
-        assert (await client.answer())[0] == 413 and await client.ends()
-
-    one_worker(scenario)
+    gate.gateway.timers = alarms = Timers(asyncio.get_running_loop(), gate.gateway.clock)
+    waits, at = [], alarms.at
+    alarms.at = lambda at_ms, call: (waits.append(round(at_ms - gate.gateway.clock.now())), at(0.0, call))
+    for _ in range(7):
+        assert (await client.send(request(path="/none")).answer())[0] == 404
+    assert waits == [50, 100, 200, 400, 800, 1000, 1000]
+
+
+async def test_bad_request_with_pipelined_bytes_gets_its_error_and_a_400(endpoint, client):
+    client.send(request(path="/none") * 300)
+    assert (await client.answer())[0] == 404
+    assert (await client.answer())[0] == 400 and await client.ends()
+    assert endpoint.requests.empty()
+
+
+async def test_trailers_and_chunk_extensions_are_bounded_and_ignored(endpoint, gate, client):
+    head = request(path="/debit", extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
+    client.send(head + b"1\r\nx\r\n0\r\nX-Tier: other\r\nIdempotency-Key: k\r\n\r\n")
+    asked, writer = await endpoint.asked()
+    assert asked.body == b"x" and "idempotency-key" not in asked.headers
+    writer.write(answer())
+    assert (await client.answer())[0] == 200
+    client.send(head + b"0\r\n" + b"X-Tier: other\r\n" * 2000)
+    assert (await client.answer())[0] == 431
+    client = await gate.client()
+    client.send(head + (b"1;" + b"x" * 9000 + b"\r\nx\r\n") * 70)
+    assert (await client.answer())[0] == 413
+
+
+async def test_error_reaches_a_client_that_sends_its_large_body_to_the_end(client):
+    client.send(request(path="/debit", body=b"x").replace(b"Length: 1", b"Length: 70000000"))
+    for _ in range(64):
+        client.send(bytes(256 * 1024))
+        await client.writer.drain()
+    assert (await client.answer())[0] == 413 and await client.ends()
--- a/tests/network/clients/test_timeouts.py
+++ b/tests/network/clients/test_timeouts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.fakes import request
-from support.gateway_scenarios import later, one_worker, taken
+from support.gateway_scenarios import later, taken
 
 from gateway.network.clients.connection_limiter import SWEEP_MS
 
@@ -18,19 +18,15 @@
         (request(body=b"half")[:-2], 408),
     ],
 )
-def test_incomplete_request_times_out_with_an_error_or_a_close(said, status):
+async def test_incomplete_request_times_out_with_an_error_or_a_close(said, status, gate, client):
     """Within 3 s, sweep and all; it was 11 s for half a request, and for ever for silence."""
-
-    async def scenario(worker, gate, client):
-        client.send(said)
-        while said and not any(one.size for one in gate.gateway.connections.all):
-            await asyncio.sleep(0)
-        await taken(gate, 1)
-        later(gate, 2000)
-        (one,) = gate.gateway.connections.all
-        assert not one.ending
-        later(gate, 3000 - SWEEP_MS)
-        told = await client.answer()
-        assert (told and told[0]) == status and await client.ends()
-
-    one_worker(scenario)
+    client.send(said)
+    while said and not any(one.size for one in gate.gateway.connections.all):
+        await asyncio.sleep(0)
+    await taken(gate, 1)
+    later(gate, 2000)
+    (one,) = gate.gateway.connections.all
+    assert not one.ending
+    later(gate, 3000 - SWEEP_MS)
+    told = await client.answer()
+    assert (told and told[0]) == status and await client.ends()
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -8,7 +8,7 @@
 
 import pytest
 from support.discovery_scenarios import WATCH
-from support.fakes import HOST, run
+from support.fakes import HOST
 
 from gateway.config import EndpointList
 from gateway.network.discovery.backoff import CallPace
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("fleet", [1, 3, 40, 200])
 @pytest.mark.parametrize("grace_s", [0.0, 0.25, 2.0])
-def test_broken_watch_of_pushed_lists_reopens_within_the_grace_period(fleet, grace_s, monkeypatch):
+async def test_broken_watch_of_pushed_lists_reopens_within_the_grace_period(fleet, grace_s, monkeypatch):
     """Seen in a fleet of 200: a watch that fell silent was given up after 41 s and opened anew up to 150 s
     later. What an agent on the own machine has counts as told, so nobody waits for the others there."""
 
@@ -161,11 +161,8 @@
         assert len(waits) == 12 and waits[0] < 0.05 and max(waits) < max(0.05, grace_s / 2)
         assert min(waits) >= 0.01  # but it does not call without end
 
-    async def scenario():
-        for seed in range(fleet):
-            await gateway(seed)
-
-    run(scenario())
+    for seed in range(fleet):
+        await gateway(seed)
 
 
 def test_refusal_shows_that_discovery_is_shared():
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -17,7 +17,6 @@
     entry,
     listing,
     request,
-    run,
     told,
 )
 from support.process_scenarios import (
@@ -100,23 +99,19 @@
 
 
 @pytest.mark.parametrize("signals", [(signal.SIGTERM,), (signal.SIGHUP, signal.SIGTERM)])
-def test_signals_during_the_start_take_effect_once_ready(tmp_path, signals):
+async def test_signals_during_the_start_take_effect_once_ready(tmp_path, signals):
     """Discovery has been called and says nothing, so it is not ready when they come."""
-
-    async def whole():
-        async with FakeDiscovery() as fake, FakeWorker() as worker:
-            port, path = free_port(), tmp_path / "config.json"
-            path.write_text(json.dumps(config(fake.port, port, known=[entry("w1", worker.port)])))
-            process = await start(path)
-            try:
-                await fake.called()
-                for number in signals:
-                    process.send_signal(number)
-                _, said = await process.communicate()
-                assert process.returncode == 0 and b"has finished" in said and b"Traceback" not in said
-            finally:
-                if process.returncode is None:
-                    process.kill()
-                    await process.wait()
-
-    run(whole())
+    async with FakeDiscovery() as fake, FakeWorker() as worker:
+        port, path = free_port(), tmp_path / "config.json"
+        path.write_text(json.dumps(config(fake.port, port, known=[entry("w1", worker.port)])))
+        process = await start(path)
+        try:
+            await fake.called()
+            for number in signals:
+                process.send_signal(number)
+            _, said = await process.communicate()
+            assert process.returncode == 0 and b"has finished" in said and b"Traceback" not in said
+        finally:
+            if process.returncode is None:
+                process.kill()
+                await process.wait()
--- a/tests/support/gateway_scenarios.py
+++ b/tests/support/gateway_scenarios.py
@@ -2,20 +2,7 @@
 
 import asyncio
 
-from support.fakes import FakeWorker, Gate, Script, answer, entry, request, run
-
-
-def one_worker(scenario, **script):
-    """Run a scenario with one worker, w1, one gatekeeper and one client."""
-
-    async def whole():
-        async with (
-            FakeWorker() as worker,
-            Gate(Script(**script), known=[entry("w1", worker.port)]) as gate,
-        ):
-            await scenario(worker, gate, await gate.client())
-
-    run(whole())
+from support.fakes import answer, request
 
 
 async def exchange(worker, client):
--- a/tests/support/streaming_scenarios.py
+++ b/tests/support/streaming_scenarios.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from support.fakes import HOST, Gate, Script, entry, run
+from support.fakes import HOST
 
 
 class RawWorker:
@@ -30,14 +30,6 @@
         return (await reader.readuntil(b"\r\n\r\n")).decode(), reader, writer
 
 
-def at_gate(scenario, script=None):
-    async def whole():
-        async with RawWorker() as worker, Gate(script or Script(), known=[entry("w1", worker.port)]) as gate:
-            await scenario(worker, gate, await gate.client())
-
-    run(whole())
-
-
 async def until(true):
     while not true():
         await asyncio.sleep(0.001)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -354,14 +354,9 @@
     return (head + rest).decode()
 
 
-def test_answers_to_each_kind_of_bad_input():
-    async def scenario():
-        async with Gate(Script()) as gate:
-            check_json(
-                "bad-input.json", {name: await reply_to(gate.port, data) for name, data in BAD.items()}
-            )
-
-    run(scenario())
+async def test_answers_to_each_kind_of_bad_input():
+    async with Gate(Script()) as gate:
+        check_json("bad-input.json", {name: await reply_to(gate.port, data) for name, data in BAD.items()})
 
 
 class Answering(Script):
@@ -372,36 +367,29 @@
         return [finals[event.id % 3](event.id) for event in events if isinstance(event, RequestArrived)]
 
 
-def test_final_answers_without_an_endpoint_and_of_readiness():
-    async def scenario():
-        async with Gate(Answering()) as gate:
-            replies = [
-                await reply_to(gate.port, request(extra=extra))
-                for extra in ("", "", "", "Connection: close\r\n")
-            ]
-            up = b"GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-            replies.append(await reply_to(gate.port, up))
-            gate.gateway.ready = False
-            replies.append(await reply_to(gate.port, up))
-            check_json("final-answers.json", replies)
-
-    run(scenario())
-
+async def test_final_answers_without_an_endpoint_and_of_readiness():
+    async with Gate(Answering()) as gate:
+        replies = [
+            await reply_to(gate.port, request(extra=extra)) for extra in ("", "", "", "Connection: close\r\n")
+        ]
+        up = b"GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
+        replies.append(await reply_to(gate.port, up))
+        gate.gateway.ready = False
+        replies.append(await reply_to(gate.port, up))
+        check_json("final-answers.json", replies)
 
-def test_an_id_in_use_and_a_second_request_before_the_answer():
-    async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
-            client = await gate.client()
-            client.send(request("00000000000000d1"))
-            _, writer = await worker.asked()
-            replies = [await reply_to(gate.port, request("00000000000000d1"))]
-            client.send(request("00000000000000d2"))
-            await asyncio.sleep(0.05)
-            writer.write(answer(body=b"first"))
-            replies.append((await client.reader.read()).decode())
-            check_json("in-use.json", replies)
 
-    run(scenario())
+async def test_an_id_in_use_and_a_second_request_before_the_answer():
+    async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        client = await gate.client()
+        client.send(request("00000000000000d1"))
+        _, writer = await worker.asked()
+        replies = [await reply_to(gate.port, request("00000000000000d1"))]
+        client.send(request("00000000000000d2"))
+        await asyncio.sleep(0.05)
+        writer.write(answer(body=b"first"))
+        replies.append((await client.reader.read()).decode())
+        check_json("in-use.json", replies)
 
 
 # ---- workers
@@ -434,24 +422,20 @@
     return received
 
 
-def test_the_head_that_an_endpoint_gets():
-    async def scenario():
-        chunked = changed(b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\n", **BOOK)
-        small = [
-            request("00000000000000c1", "/look/3?q=%20", extra="Accept: x\r\nContent-Type: text/plain\r\n"),
-            request("00000000000000c2", "/book/7", key="k~1", body=b"\x00body"),
-            request("00000000000000c3", "/debit", body=b"1", extra="content-type:  a/b \r\n"),
-            chunked.removesuffix(b"body") + b"4\r\nbody\r\n0\r\n\r\n",
-        ]
-        large = [
-            request("00000000000000c4", "/book", key="k", body=bytes(BODY_LIMIT + 1)),
-            chunked.removesuffix(b"body").replace(b"e1", b"e2")
-            + b"50000\r\n%s\r\n0\r\n\r\n" % bytes(0x50000),
-        ]
-        sent = [(data, b"") for data in small] + [(data[:-1], data[-1:]) for data in large]
-        check_json("worker-heads.json", await heads_at_worker(sent))
-
-    run(scenario())
+async def test_the_head_that_an_endpoint_gets():
+    chunked = changed(b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\n", **BOOK)
+    small = [
+        request("00000000000000c1", "/look/3?q=%20", extra="Accept: x\r\nContent-Type: text/plain\r\n"),
+        request("00000000000000c2", "/book/7", key="k~1", body=b"\x00body"),
+        request("00000000000000c3", "/debit", body=b"1", extra="content-type:  a/b \r\n"),
+        chunked.removesuffix(b"body") + b"4\r\nbody\r\n0\r\n\r\n",
+    ]
+    large = [
+        request("00000000000000c4", "/book", key="k", body=bytes(BODY_LIMIT + 1)),
+        chunked.removesuffix(b"body").replace(b"e1", b"e2") + b"50000\r\n%s\r\n0\r\n\r\n" % bytes(0x50000),
+    ]
+    sent = [(data, b"") for data in small] + [(data[:-1], data[-1:]) for data in large]
+    check_json("worker-heads.json", await heads_at_worker(sent))
 
 
 # ---- operators
@@ -467,23 +451,20 @@
 )
 
 
-def test_the_calls_of_operators():
-    async def scenario():
-        async with FakeWorker() as worker:
-            known = [entry("w1", worker.port), entry("w2", 9, "draining")]
-            async with Gate(None, known=known) as gate:
-                await asyncio.sleep(0.05)
-                client = await gate.client()
-                client.send(request())
-                _, writer = await worker.asked()
-                writer.write(answer())
-                await client.answer()
-                replies = [await reply_to(gate.door_port, data) for data in CALLS]
-                gate.gateway.ready = False
-                replies.append(await reply_to(gate.door_port, CALLS[0]))
-                check_json("operators.json", replies)
-
-    run(scenario())
+async def test_the_calls_of_operators():
+    async with FakeWorker() as worker:
+        known = [entry("w1", worker.port), entry("w2", 9, "draining")]
+        async with Gate(None, known=known) as gate:
+            await asyncio.sleep(0.05)
+            client = await gate.client()
+            client.send(request())
+            _, writer = await worker.asked()
+            writer.write(answer())
+            await client.answer()
+            replies = [await reply_to(gate.door_port, data) for data in CALLS]
+            gate.gateway.ready = False
+            replies.append(await reply_to(gate.door_port, CALLS[0]))
+            check_json("operators.json", replies)
 
 
 # ---- the simulator
@@ -599,15 +580,12 @@
 
 
 @pytest.mark.parametrize("wake", [0.0, 12.5])
-def test_a_wake_up_asked_for_by_the_module_comes_on_the_grid_of_its_ticks(wake):
-    async def scenario():
-        script = Script(worker="")
-        async with Gate(script) as gate:
-            script.to_do = [SetTimer(wake, "agenda")]
-            began_ms = gate.gateway.clock.now()
-            gate.gateway.enqueue(TimerFired("begin"))
-            while not [event for event in script.events if event == TimerFired("agenda")]:
-                await asyncio.sleep(0.001)
-            assert gate.gateway.clock.now() - began_ms >= wake
-
-    run(scenario())
+async def test_a_wake_up_asked_for_by_the_module_comes_on_the_grid_of_its_ticks(wake):
+    script = Script(worker="")
+    async with Gate(script) as gate:
+        script.to_do = [SetTimer(wake, "agenda")]
+        began_ms = gate.gateway.clock.now()
+        gate.gateway.enqueue(TimerFired("begin"))
+        while not [event for event in script.events if event == TimerFired("agenda")]:
+            await asyncio.sleep(0.001)
+        assert gate.gateway.clock.now() - began_ms >= wake
