--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -15,8 +15,8 @@
 from gateway.policy.requests.request_flow import RequestFlow
 from gateway.policy.timers import REQUEST_TIMERS, Timer, TimerKind
 
-TIDY_MS = 1000.0  # how often what is over is forgotten; what is forgotten begins anew as it was
-WAKE_UP = "agenda"  # the name of the one timer that is asked for; recorded days have it
+CLEANUP_INTERVAL_MS = 1000.0  # interval at which unused accounts, buckets and timers are dropped
+WAKE_UP_TIMER = "agenda"  # name of the only timer that is requested; recorded days contain it
 
 
 class Controller:
@@ -162,7 +162,7 @@
         self.pace.step()
         self.selector.step()
         if now_ms >= self._tidy_at_ms:
-            self._tidy_at_ms = now_ms + TIDY_MS
+            self._tidy_at_ms = now_ms + CLEANUP_INTERVAL_MS
             self._tidy()
         self.flow.attempts.limiter.step(self.directory.capacity)
 
@@ -189,4 +189,4 @@
         turn = self.context.turn
         after_ms = self.context.timers.wake_up_in_ms(turn.now_ms, self.flow.open)
         if after_ms is not None:
-            turn.actions.append(SetTimer(after_ms, WAKE_UP))
+            turn.actions.append(SetTimer(after_ms, WAKE_UP_TIMER))
--- a/gateway/policy/dispatch/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -6,21 +6,19 @@
 from gateway.policy.decay import CountWithMean, decay
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 
-START_PER_ENDPOINT = 12.0  # attempts for each ready endpoint, over all gateways, until answers tell more
-MIN_PER_ENDPOINT = 4.0  # over all gateways: never fewer, or slow answers would close it for good
-SERVICE_PART = (
-    0.25  # of a class's objective that attempts may spend at endpoints on average; more thrashes them
-)
-PEAK_GROWTH = 2.0  # times the recent peak, as the design has it
-OVERLOAD_SHARE = 0.15  # of attempts refused by overloaded endpoints that cuts the limit,
-OVERLOAD_CUT = 0.75  # to so much of it, as the design has it
-MIN_CUT = 0.3  # how far cuts may go
-CUT_RECOVERY = 1.05  # how a cut wears off in each period
-MEMORY_MS = 1000.0  # over which answers are counted
-FEW_ANSWERS = 5  # with so many of our own, the fleet's mean weighs as much
-MIN_SLACK = 1.5  # attempts by which the limit may be passed while those in flight average less
-DEVIATIONS = 2.0  # roots of its part by which a gateway of many may pass it: chance evens out over the fleet
-PEER_GAIN = 0.1  # of each peer's target, in the mean of what is received
+INITIAL_PER_ENDPOINT = 12.0  # attempts per ready endpoint, over all gateways, before the first responses
+MIN_PER_ENDPOINT = 4.0  # lower bound in attempts per ready endpoint over all gateways
+SERVICE_FRACTION = 0.25  # fraction of a class's objective that attempts may spend at endpoints on average
+MAX_PEAK_GROWTH = 2.0  # upper bound as a multiple of the recent peak
+OVERLOAD_THRESHOLD = 0.15  # fraction of attempts refused as overloaded above which the limit is cut
+OVERLOAD_CUT = 0.75  # factor applied to the limit in each period with overload
+MIN_CUT = 0.3  # lower bound of the accumulated cut
+CUT_RECOVERY = 1.05  # factor by which a cut recovers in each period without overload
+MEMORY_MS = 1000.0  # time constant of the counts of responses and of attempts in flight
+PRIOR_RESPONSES = 5  # own responses at which the fleet's mean and the own target weigh the same
+MIN_SLACK = 1.5  # attempts by which the limit may be exceeded while the mean in flight is below it
+SLACK_DEVIATIONS = 2.0  # standard deviations of its count by which one gateway of many may exceed the limit
+PEER_GAIN = 0.1  # weight of a peer's target in the moving average of all that are received
 
 
 class ConcurrencyLimiter(PolicyComponent):
@@ -61,12 +59,11 @@
     def step(self, ready_endpoints: float) -> None:
         """Set the limit for the next period; endpoints in slow start count by their part."""
         kept = decay(PERIOD_MS, MEMORY_MS)
-        self.target = self.target * kept + self._answered_ms * SERVICE_PART / PERIOD_MS * (1 - kept)
+        self.target = self.target * kept + self._answered_ms * SERVICE_FRACTION / PERIOD_MS * (1 - kept)
         self.count(0)
         self.peak = max(float(self.in_flight.value), self.peak * kept)
-        if (
-            self._overloaded > OVERLOAD_SHARE * self._ended
-        ):  # one endpoint that refuses all is no overloaded fleet
+        # A single endpoint that refuses every attempt stays below the threshold.
+        if self._overloaded > OVERLOAD_THRESHOLD * self._ended:
             self.cut = max(MIN_CUT, self.cut * OVERLOAD_CUT)
         else:
             self.cut = min(1.0, self.cut * CUT_RECOVERY)
@@ -77,16 +74,14 @@
 
     def update_limit(self, ready_endpoints: float) -> None:
         """Set the limit anew for so many ready endpoints."""
-        ready = (
-            ready_endpoints / self._settings.gateways
-        )  # our part: with all of them for us, the fleet would overload them
+        ready = ready_endpoints / self._settings.gateways  # this gateway's share of the fleet
         # A gateway's own few answers say little: the fleet's mean stands in for what they lack.
-        lack = max(0.0, self.peer_target - self.target) * FEW_ANSWERS / (FEW_ANSWERS + self._ended)
+        lack = max(0.0, self.peer_target - self.target) * PRIOR_RESPONSES / (PRIOR_RESPONSES + self._ended)
         target = self.target + lack
         if not target:
-            self.limit = START_PER_ENDPOINT * ready * self.cut
+            self.limit = INITIAL_PER_ENDPOINT * ready * self.cut
             return
-        most = PEAK_GROWTH * max(self.peak, START_PER_ENDPOINT * ready)
+        most = MAX_PEAK_GROWTH * max(self.peak, INITIAL_PER_ENDPOINT * ready)
         self.limit = max(MIN_PER_ENDPOINT * ready * self.cut, min(target * self.cut, most))
 
     def available(self) -> float:
@@ -97,7 +92,7 @@
         gateway holds back for it nobody uses. So the smaller the part, the more may be beyond it, and by half
         as much the mean, which is taken over few; of a lone gateway none.
         """
-        deviation = DEVIATIONS * math.sqrt(self.limit) * (1 - 1 / math.sqrt(self._settings.gateways))
+        deviation = SLACK_DEVIATIONS * math.sqrt(self.limit) * (1 - 1 / math.sqrt(self._settings.gateways))
         is_within = self.in_flight.mean < self.limit + deviation / 2
         slack = max(MIN_SLACK, deviation) if is_within else 0.0
         return self.limit + slack - self.in_flight.value
--- a/gateway/policy/dispatch/dispatcher.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -6,8 +6,8 @@
 from gateway.policy.requests.attempts import AttemptManager
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 
-FEW_SAMPLES = 5  # with fewer dispatched in a period, the ages of those still queued count as waits too
-OVERAGE_LIMIT = 0.5  # of the concurrency limit: fuller, and nothing beyond a quota is dispatched
+MIN_WAIT_SAMPLES = 5  # dispatched requests per period below which the ages of queued ones count as waits
+MAX_OVERAGE_UTILIZATION = 0.5  # fraction of the concurrency limit in use that still permits overage
 
 
 class Dispatcher(PolicyComponent):
@@ -32,7 +32,7 @@
         """Move each class's share by the waits of this period."""
         for name, share in self.shares.items():
             waits_ms = self._waits_ms[name]
-            if len(waits_ms) < FEW_SAMPLES and self.queue:
+            if len(waits_ms) < MIN_WAIT_SAMPLES and self.queue:
                 waits_ms = waits_ms + [
                     self._turn.now_ms - request.arrived_at_ms
                     for request in self.queue
@@ -49,7 +49,7 @@
         self.queue.sort(key=lambda one: (not one.within_quota, -one.priority, -one.arrived_at_ms))
         if len(self.queue) > self._limiter.available():
             self._sort_by_shares()
-        is_busy = self._limiter.in_flight.mean >= OVERAGE_LIMIT * self._limiter.limit
+        is_busy = self._limiter.in_flight.mean >= MAX_OVERAGE_UTILIZATION * self._limiter.limit
         self.queue = [request for request in self.queue if not self._try_to_dispatch(request, is_busy)]
 
     def _sort_by_shares(self) -> None:
--- a/gateway/policy/dispatch/fuzzy_sets.py
+++ b/gateway/policy/dispatch/fuzzy_sets.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)
-OUTPUT_STEPS = 20  # points at which an output is evaluated, on either side of 0
+CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # peaks of the triangular sets
+OUTPUT_STEPS = 20  # points on either side of 0 at which an output is evaluated
 
 
 def memberships(value: float) -> list[float]:
--- a/gateway/policy/dispatch/fuzzy_share.py
+++ b/gateway/policy/dispatch/fuzzy_share.py
@@ -7,11 +7,11 @@
 
 from gateway.policy.dispatch.fuzzy_sets import CENTRES, centre_of_gravity, memberships
 
-PERIOD_MS = 100.0  # one step of the shares: short, since one step moves a share by 0.01 at most
-ERROR_GAIN = 0.4  # for each second of error
-CHANGE_GAIN = 3.0  # for each second by which the error has changed
-OUTPUT_GAIN = 0.01  # of share for an output of 1
-MIN_SHARE = 0.05  # so that no class is starved for good
+PERIOD_MS = 100.0  # interval between two steps of the controllers and averages
+ERROR_GAIN = 0.4  # controller input per second of error
+CHANGE_GAIN = 3.0  # controller input per second of change of the error
+OUTPUT_GAIN = 0.01  # change of the share for an output of 1
+MIN_SHARE = 0.05  # lower bound of a share, so that no class starves
 
 
 class FuzzyShare:
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -12,12 +12,10 @@
 from gateway.policy.endpoints.slow_start import capacity_part
 from gateway.policy.timers import TimerKind
 
-GATEWAYS_PER_ENDPOINT = 6  # that send to one endpoint before others: so many share what it does
-SLOW_START_SPARE = (
-    2.0  # one part in so many of what the settings allow in slow start is used; chance has the rest
-)
-POLLS_IN_TIME = 4  # of the settings, in which a failed subscription may be asked for so often
-FLEET_MEMORY_MS = 30_000.0  # over which the warm fleet of late counts as what carries the load
+GATEWAYS_PER_ENDPOINT = 6  # gateways that prefer the same endpoint
+SLOW_START_SAFETY_FACTOR = 2.0  # divisor of the load that the settings permit during slow start
+POLLS_PER_INTERVAL = 4  # attempts to subscribe within the interval that the settings permit
+REFERENCE_MEMORY_MS = 30_000.0  # time constant with which the reference capacity decays
 
 
 class EndpointDirectory(PolicyComponent):
@@ -44,12 +42,12 @@
 
     def on_update_failed(self) -> None:
         """Discovery could not be asked: ask again, in good time."""
-        again_at_ms = self._turn.now_ms + self._settings.poll_within_ms / POLLS_IN_TIME
+        again_at_ms = self._turn.now_ms + self._settings.poll_within_ms / POLLS_PER_INTERVAL
         self._schedule(again_at_ms, TimerKind.SUBSCRIBE)
 
     def step(self) -> None:
         """Go on by one period: slow start proceeds, and the fleet of late fades."""
-        faded = self.reference_capacity * decay(PERIOD_MS, FLEET_MEMORY_MS)
+        faded = self.reference_capacity * decay(PERIOD_MS, REFERENCE_MEMORY_MS)
         self.reference_capacity = max(self._least_reference, faded)
         if self.starting:
             self._sort()
@@ -77,7 +75,7 @@
             self.capacity += part
         # Who has just started doesn't know the fleet of late. Each ready endpoint, once warm, would carry its
         # part of all requests at least: so much of it the settings let one in slow start have.
-        allowed = SLOW_START_SPARE * len(ready) / max(1.0, self._settings.overload_multiple)
+        allowed = SLOW_START_SAFETY_FACTOR * len(ready) / max(1.0, self._settings.overload_multiple)
         self._least_reference = max(self.capacity, allowed)
         self.reference_capacity = max(self._least_reference, self.reference_capacity)
         self.preferred = self.preferred_part(self.warm)
--- a/gateway/policy/endpoints/hash_ring.py
+++ b/gateway/policy/endpoints/hash_ring.py
@@ -8,7 +8,7 @@
 from gateway.gossip.codec import endpoint_tag
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
-GOLDEN_SECTION = 0.618  # steps of about this part of the ring keep neighbours in a row far apart
+GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of two consecutive holders
 
 
 def mixed_ring(endpoints: Sequence[EndpointRecord]) -> list[EndpointRecord]:
--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -11,17 +11,17 @@
 from gateway.policy.decay import decay
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
-EJECTED_SHARE = 0.5  # of failures, at which an endpoint is avoided
-FIRST_HAND_WEIGHT = 1.0  # of an attempt of our own that ended
-SILENCE_WEIGHT = 0.6  # of an attempt that takes long enough for a hedge
-GOSSIP_WEIGHT = 0.5  # of what a peer observed, at most
-GOSSIP_AGE_MS = 2000.0  # older observations are not passed on
-SLOW_RATIO = 3.0  # expected latencies after which an attempt counts as silent, and a second copy may go out
-LATENCY_GAIN = 0.15  # how fast a relative slowness is learned
-MAX_LATENCY_RATIO = 10.0  # its bound
-LATENCY_MEMORY_MS = 15_000.0  # it fades, so that an old spell is no verdict
-FAILURE_MEMORY_MS = 4000.0  # failures fade, so that an endpoint is tried again a little at a time
-PRIOR_OUTCOMES = 2  # an endpoint's share of failures begins as if so many outcomes had been good
+EJECTION_THRESHOLD = 0.5  # failure rate of a class at which an endpoint is ejected
+OWN_OUTCOME_WEIGHT = 1.0  # weight of the result of an own attempt
+SILENCE_WEIGHT = 0.6  # weight of an attempt that is silent long enough for a hedge
+MAX_GOSSIP_WEIGHT = 0.5  # upper bound of the weight of a peer's observation
+MAX_GOSSIP_AGE_MS = 2000.0  # age beyond which an own observation is not sent to peers
+SILENCE_LATENCY_RATIO = 3.0  # multiple of the expected latency after which an attempt counts as silent
+LATENCY_FACTOR_GAIN = 0.15  # weight of a new sample in an endpoint's latency factor
+MAX_LATENCY_RATIO = 10.0  # upper bound of a latency sample, in expected latencies
+LATENCY_MEMORY_MS = 15_000.0  # time constant with which a latency factor decays to 1
+FAILURE_MEMORY_MS = 4000.0  # time constant with which counts of outcomes decay
+PRIOR_OUTCOMES = 2  # assumed successful outcomes at which a failure rate starts
 
 
 class OutlierDetector(PolicyComponent):
@@ -49,7 +49,7 @@
 
     def is_ejected(self, endpoint: EndpointRecord, class_name: str) -> bool:
         """Return whether an endpoint fails too much of a class to be used where there is a choice."""
-        return self.failure_share(endpoint, class_name) >= EJECTED_SHARE
+        return self.failure_share(endpoint, class_name) >= EJECTION_THRESHOLD
 
     def learn(self, endpoint: EndpointRecord, class_name: str, latency_ratio: float, weight: float) -> None:
         """Take in one outcome: its latency against the expected one, or inf where it failed.
@@ -64,17 +64,17 @@
         endpoint.outcomes.add(class_name, weight)
         if latency_ratio == math.inf:
             endpoint.failures.add(class_name, weight)
-        elif latency_ratio > SLOW_RATIO:  # it was taken for silence, and is not
+        elif latency_ratio > SILENCE_LATENCY_RATIO:  # it was taken for silence, and is not
             endpoint.failures[class_name] = max(0.0, endpoint.failures.get(class_name, 0.0) - weight)
         if latency_ratio < math.inf:  # against the fleet's mean: a slowdown of all blames none
             bounded = min(MAX_LATENCY_RATIO, latency_ratio)
-            latency_factor += (bounded - latency_factor) * LATENCY_GAIN * weight
+            latency_factor += (bounded - latency_factor) * LATENCY_FACTOR_GAIN * weight
         endpoint.latency_factor = latency_factor
         endpoint.observed_at_ms = now_ms
-        if weight > GOSSIP_WEIGHT:
+        if weight > MAX_GOSSIP_WEIGHT:
             seen = observe(endpoint.entry.id, self.class_names.index(class_name), latency_ratio)
             self._observations = [*self._observations[1 - MAX_OBSERVATIONS :], (now_ms, seen)]
 
     def fresh_observations(self) -> list[EndpointObservation]:
         """Return the first-hand observations of late, to be passed on."""
-        return [seen for at_ms, seen in self._observations if self._turn.now_ms - at_ms <= GOSSIP_AGE_MS]
+        return [seen for at_ms, seen in self._observations if self._turn.now_ms - at_ms <= MAX_GOSSIP_AGE_MS]
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -11,20 +11,20 @@
 from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 from gateway.policy.endpoints.directory import EndpointDirectory
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
-from gateway.policy.endpoints.outlier_detection import GOSSIP_WEIGHT, OutlierDetector
+from gateway.policy.endpoints.outlier_detection import MAX_GOSSIP_WEIGHT, OutlierDetector
 from gateway.policy.endpoints.slow_start import SlowStartLottery
 from gateway.policy.requests.request_record import RequestRecord
 
-FAILURE_COST = 200.0  # of the squared share of failures: one soon fades, a row of them does not
-NON_IDEMPOTENT_TIMES = 2  # times that cost for what can't be tried again
-OTHER_ZONE_COST = 1.15  # an endpoint of another zone must be so much better
-JITTER = 1.1  # costs are drawn up to so much higher, so that gateways don't choose alike
-MIN_WEIGHT = 0.01
-MIN_CHOICES = 2.0  # endpoints compared,
-CHOICES_PER_SEND = 4.0  # and more for each recent send of ours to each endpoint
-FULL_LOAD = 2.0  # attempts that full use counts as
-REPORT_MEMORY_MS = 1000.0  # over which a load report ages, and our sends are counted
-LONGEST_AGE = 50.0  # memories after which a report says nothing any more
+FAILURE_COST = 200.0  # cost per squared fraction of failures, relative to an idle endpoint's cost
+NON_IDEMPOTENT_COST_FACTOR = 2  # multiple of the failure cost for requests that can't be retried
+OTHER_ZONE_COST_FACTOR = 1.15  # multiple of the cost of an endpoint in another zone
+MAX_COST_JITTER = 1.1  # upper bound of the random cost factor that keeps gateways from choosing alike
+MIN_WEIGHT = 0.01  # lower bound of an endpoint's weight
+MIN_CANDIDATES = 2.0  # endpoints compared for an attempt at least
+CANDIDATES_PER_SEND = 4.0  # further endpoints compared per recent send to each endpoint
+FULL_UTILIZATION_ATTEMPTS = 2.0  # attempts in flight that a reported utilization of 1 counts as
+REPORT_MEMORY_MS = 1000.0  # time constant of load reports and of the count of recent sends
+MAX_REPORT_AGE = 50.0  # age of a load report, in memories, beyond which it counts as nothing
 
 Eligible = list[EndpointRecord] | None  # the only endpoints that an idempotency key leaves; None: all
 
@@ -47,7 +47,7 @@
 
     def _sends_each(self, endpoints: int) -> float:
         """Return how much our recent sends to each of so many endpoints count."""
-        return CHOICES_PER_SEND * self.recent_sends / max(1, endpoints)
+        return CANDIDATES_PER_SEND * self.recent_sends / max(1, endpoints)
 
     def on_load_report(self, endpoint: EndpointRecord, load: tuple[float, ...]) -> None:
         """Take in the load that an endpoint reports with an answer."""
@@ -55,7 +55,7 @@
         if "inflight" in values:
             endpoint.peer_load = max(0.0, values["inflight"] - endpoint.in_flight)
         else:
-            endpoint.peer_load = FULL_LOAD * max(0.0, min(1.0, values.get("util", 0.0)))
+            endpoint.peer_load = FULL_UTILIZATION_ATTEMPTS * max(0.0, min(1.0, values.get("util", 0.0)))
         endpoint.reported_at_ms = self._turn.now_ms
 
     def on_observations(self, observations: Sequence[EndpointObservation]) -> None:
@@ -63,7 +63,7 @@
 
         It weighs the less the more we send to each endpoint ourselves, or all would flee and crowd alike.
         """
-        weight = GOSSIP_WEIGHT / (1 + self._sends_each(len(self.directory.warm)))
+        weight = MAX_GOSSIP_WEIGHT / (1 + self._sends_each(len(self.directory.warm)))
         names = self.outliers.class_names
         for seen in observations:
             endpoint = self.directory.table.by_tag.get(seen.endpoint_tag)
@@ -84,7 +84,7 @@
         if drawn is not None and self._may_have(drawn, request, eligible):
             return drawn
         # Who seldom sends compares few: its reports are old, or known to all, who would crowd the best.
-        count = math.ceil(MIN_CHOICES + self._sends_each(len(warm)))
+        count = math.ceil(MIN_CANDIDATES + self._sends_each(len(warm)))
         pool = [endpoint for endpoint in warm if endpoint not in request.tried] or warm
         candidates = self._rng.sample(pool, count) if count < len(pool) else pool
         return self._cheapest(candidates, request.request_class)
@@ -112,14 +112,14 @@
         best = None
         best_cost = math.inf
         non_idempotent = request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        failure_cost = (NON_IDEMPOTENT_TIMES if non_idempotent else 1) * FAILURE_COST
+        failure_cost = (NON_IDEMPOTENT_COST_FACTOR if non_idempotent else 1) * FAILURE_COST
         for endpoint in candidates:
-            age = max(-LONGEST_AGE, (endpoint.reported_at_ms - self._turn.now_ms) / REPORT_MEMORY_MS)
+            age = max(-MAX_REPORT_AGE, (endpoint.reported_at_ms - self._turn.now_ms) / REPORT_MEMORY_MS)
             load = 1 + endpoint.in_flight + endpoint.peer_load * math.exp(age)
             cost = load * self.outliers.latency_factor(endpoint) / max(MIN_WEIGHT, endpoint.entry.weight)
             cost *= 1 + failure_cost * self.outliers.failure_share(endpoint, request_class.name) ** 2
-            cost *= 1.0 if endpoint.entry.zone == self._settings.zone else OTHER_ZONE_COST
-            cost *= self._rng.uniform(1.0, JITTER)
+            cost *= 1.0 if endpoint.entry.zone == self._settings.zone else OTHER_ZONE_COST_FACTOR
+            cost *= self._rng.uniform(1.0, MAX_COST_JITTER)
             if cost < best_cost:
                 best = endpoint
                 best_cost = cost
--- a/gateway/policy/endpoints/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -12,8 +12,8 @@
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.requests.request_record import RequestRecord
 
-RETRY_MS = 1000.0  # until a request that was not drawn tries again
-TRIES_MEMORY_MS = 1000.0  # over which requests and tries are counted
+REDRAW_MS = 1000.0  # interval after which a request that was not drawn may be drawn again
+DRAW_MEMORY_MS = 1000.0  # time constant of the counts of requests and draws
 
 
 def capacity_part(settings: Settings, now_ms: float, endpoint: Endpoint) -> float:
@@ -35,7 +35,7 @@
 
     def step(self) -> None:
         """Let one period's counts fade."""
-        kept = decay(PERIOD_MS, TRIES_MEMORY_MS)
+        kept = decay(PERIOD_MS, DRAW_MEMORY_MS)
         self._requests = self._requests * kept
         self._tries = self._tries * kept
 
@@ -52,7 +52,7 @@
         self._requests += not request.slow_start_tries
         self._tries += 1
         request.slow_start_tries += 1
-        request.slow_start_retry_at_ms = self._turn.now_ms + RETRY_MS
+        request.slow_start_retry_at_ms = self._turn.now_ms + REDRAW_MS
         ticket = self._rng.random() * fleet_capacity * max(1.0, self._tries / max(1.0, self._requests))
         for endpoint in starting:
             ticket -= capacity_part(self._settings, self._turn.now_ms, endpoint.entry)
--- a/gateway/policy/gossip/pace.py
+++ b/gateway/policy/gossip/pace.py
@@ -13,8 +13,8 @@
 from gateway.policy.gossip.outbox import EntryOutbox
 from gateway.policy.timers import TimerKind
 
-INBOX_PART = 0.75  # of an inbox that all other gateways may fill
-TALKING_MS = 1000.0  # a gateway heard from within so long shares our peers' inboxes with us
+INBOX_FRACTION = 0.75  # fraction of an inbox that all other gateways together may fill
+ACTIVE_PEER_MS = 1000.0  # time since its last message for which a peer counts as an active sender
 
 
 class GossipPace(PolicyComponent):
@@ -35,7 +35,7 @@
 
     def step(self) -> None:
         """Let one period's count fade."""
-        self._received *= decay(PERIOD_MS, TALKING_MS)
+        self._received *= decay(PERIOD_MS, ACTIVE_PEER_MS)
 
     def take(self) -> list[tuple[int, list[QuotaEntry]]]:
         """Return what each gateway is sent now; a timer is scheduled for the rest."""
@@ -55,7 +55,7 @@
         """Return the least time between two messages to one gateway."""
         now_ms = self._turn.now_ms
         received = self.received_at_ms.items()
-        self.received_at_ms = {other: at_ms for other, at_ms in received if now_ms - at_ms <= TALKING_MS}
-        inbox_per_s = INBOX_PART * self._settings.gossip_inbox_per_s or math.inf
+        self.received_at_ms = {other: at_ms for other, at_ms in received if now_ms - at_ms <= ACTIVE_PEER_MS}
+        inbox_per_s = INBOX_FRACTION * self._settings.gossip_inbox_per_s or math.inf
         fullness = min(1.0, max(0.0, 2 * self._received / inbox_per_s - 1))
         return fullness * len(self.received_at_ms) * 1000 / inbox_per_s
--- a/gateway/policy/quota/accounts.py
+++ b/gateway/policy/quota/accounts.py
@@ -14,11 +14,11 @@
 from gateway.policy.quota.account import AccountKey, CustomerAccount
 from gateway.policy.requests.request_record import RequestRecord
 
-DEMAND_MEMORY_MS = 3000.0  # over which a customer's demand is averaged
-LOCAL_PART = 0.03  # of the burst that all local buckets hold together: the leader may lend it as well
-LEADER_CEILING = 0.75  # of a ceiling that the leader may grant; the rest is split evenly over the gateways
-LOCAL_CEILING = 1 - LEADER_CEILING
-FORGET_MS = 8000.0  # after so long what is over is forgotten
+DEMAND_MEMORY_MS = 3000.0  # time constant of the moving average of a customer's demand
+LOCAL_BURST_FRACTION = 0.03  # fraction of a plan's burst that all local buckets hold together
+LEADER_CEILING_FRACTION = 0.75  # fraction of a ceiling that the quota leader may grant
+LOCAL_CEILING_FRACTION = 1 - LEADER_CEILING_FRACTION  # fraction that is split evenly over the gateways
+IDLE_RETENTION_MS = 8000.0  # minimum time without a request before a full account is dropped
 
 
 def per_second(demand: float) -> float:
@@ -53,7 +53,7 @@
         own_part = 1 / account.spread  # where nothing is known of the others, the even one
         if account.fleet_demand_per_s:
             own_part = min(1.0, per_second(account.demand) / account.fleet_demand_per_s)
-        account.fill(elapsed_s, LOCAL_PART, own_part, LOCAL_CEILING / account.spread)
+        account.fill(elapsed_s, LOCAL_BURST_FRACTION, own_part, LOCAL_CEILING_FRACTION / account.spread)
         return account
 
     def create(self, key: AccountKey, plan: Plan) -> CustomerAccount:
@@ -64,7 +64,9 @@
         leader = (key.first_gateway + tag % spread) % gateways
         account = CustomerAccount(plan, tag, spread, leader, self._turn.now_ms)
         account.ceiling_level = (
-            untouched_ceiling(self._turn.now_ms - self._role.started_at_ms, plan) * LOCAL_CEILING / spread
+            untouched_ceiling(self._turn.now_ms - self._role.started_at_ms, plan)
+            * LOCAL_CEILING_FRACTION
+            / spread
         )
         return account
 
@@ -76,6 +78,6 @@
         open_accounts = {id(request.account) for request in open_requests}
         for key, account in list(self.by_key.items()):
             is_used = id(account) in open_accounts or account.in_flight
-            is_old = self._turn.now_ms - account.refilled_at_ms > FORGET_MS
-            if is_old and not is_used and account.is_full(self._turn.now_ms, LOCAL_CEILING):
+            is_old = self._turn.now_ms - account.refilled_at_ms > IDLE_RETENTION_MS
+            if is_old and not is_used and account.is_full(self._turn.now_ms, LOCAL_CEILING_FRACTION):
                 del self.by_key[key]
--- a/gateway/policy/quota/leader.py
+++ b/gateway/policy/quota/leader.py
@@ -11,10 +11,10 @@
 from gateway.policy.quota.leader_bucket import LeaderBucket, LeaseKey, LeaseRequest
 from gateway.policy.timers import TimerKind
 
-RESERVE = 0.8  # of the burst that what has no weight leaves in the bucket, and less the more weight it has
-SLOT_OBJECTIVES = 1.5  # a slot whose end is never told is free again after so many latency objectives
-GRANTED_MS = 5000.0  # how long a leader remembers what it granted, against duplicates,
-GRANTED_MIN = 64  # and how many grants it keeps in any case
+MAX_RESERVED_BURST_FRACTION = 0.8  # fraction of the burst withheld from requests with weight 0
+SLOT_LIFETIME_OBJECTIVES = 1.5  # latency objectives after which a slot that was never returned expires
+GRANT_MEMORY_MS = 5000.0  # time for which grants are remembered to detect duplicate requests
+MIN_REMEMBERED_GRANTS = 64  # grants that are remembered regardless of their age
 
 
 class QuotaLeader(PolicyComponent):
@@ -45,7 +45,9 @@
 
     def serve(self, bucket: LeaderBucket) -> None:
         """Lend to those that wait, the highest weight first, of equal weight the newest."""
-        bucket.refill(self._turn.now_ms, quota_accounts.LEADER_CEILING, quota_accounts.DEMAND_MEMORY_MS)
+        bucket.refill(
+            self._turn.now_ms, quota_accounts.LEADER_CEILING_FRACTION, quota_accounts.DEMAND_MEMORY_MS
+        )
         bucket.drop_expired(self._turn.now_ms)
         bucket.queue.sort(key=lambda waiting: (waiting.priority_weight, waiting.received_at_ms))
         while bucket.queue:
@@ -62,8 +64,8 @@
     def forget(self) -> None:
         """Forget customers whose buckets are full again; they begin anew with no more than that."""
         for name, bucket in list(self.buckets.items()):
-            is_old = self._turn.now_ms - bucket.refilled_at_ms > quota_accounts.FORGET_MS
-            if is_old and bucket.is_full(self._turn.now_ms, quota_accounts.LEADER_CEILING):
+            is_old = self._turn.now_ms - bucket.refilled_at_ms > quota_accounts.IDLE_RETENTION_MS
+            if is_old and bucket.is_full(self._turn.now_ms, quota_accounts.LEADER_CEILING_FRACTION):
                 del self.buckets[name]
 
     def _create(self, entry: QuotaEntry) -> LeaderBucket:
@@ -73,10 +75,10 @@
         ceiling: all that can be lacking is that bucket's size.
         """
         plan = self._settings.plans[entry.plan_index]
-        most = plan.ceiling_burst * quota_accounts.LEADER_CEILING
+        most = plan.ceiling_burst * quota_accounts.LEADER_CEILING_FRACTION
         sure = max(0.0, most - plan.burst) if plan.rate_per_s else 0.0
         untouched = quota_accounts.untouched_ceiling(self._turn.now_ms - self._role.started_at_ms, plan)
-        ceiling_level = min(most, sure + untouched * quota_accounts.LEADER_CEILING)
+        ceiling_level = min(most, sure + untouched * quota_accounts.LEADER_CEILING_FRACTION)
         bucket = LeaderBucket(entry.bucket_name, plan, plan.burst, self._turn.now_ms, ceiling_level)
         self.buckets[bucket.name] = bucket
         return bucket
@@ -121,7 +123,9 @@
             wait_s = (units + self._reserve(bucket, waiting) - bucket.level) / plan.rate_per_s
         if plan.ceiling_per_s:
             wait_s = max(
-                wait_s, (units - bucket.ceiling_level) / (plan.ceiling_per_s * quota_accounts.LEADER_CEILING)
+                wait_s,
+                (units - bucket.ceiling_level)
+                / (plan.ceiling_per_s * quota_accounts.LEADER_CEILING_FRACTION),
             )
         if plan.max_in_flight and len(bucket.slots) >= plan.max_in_flight:
             wait_s = max(wait_s, (min(bucket.slots.values()) - self._turn.now_ms) / 1000)
@@ -129,7 +133,9 @@
 
     def _reserve(self, bucket: LeaderBucket, waiting: LeaseRequest) -> float:
         """Return what a request leaves for those with more weight; a full bucket serves anybody."""
-        reserve = RESERVE * bucket.plan.burst * (1 - waiting.priority_weight / self._top_weight)
+        reserve = (
+            MAX_RESERVED_BURST_FRACTION * bucket.plan.burst * (1 - waiting.priority_weight / self._top_weight)
+        )
         return max(0.0, min(reserve, bucket.plan.burst - waiting.entry.units))
 
     def _wait(self, bucket: LeaderBucket, wait_s: float) -> None:
@@ -158,13 +164,16 @@
 
     def _book(self, bucket: LeaderBucket, key: LeaseKey, entry: QuotaEntry) -> None:
         """Take a request's units out of the quota, and a slot where the plan has such a quota."""
-        if len(bucket.granted) > GRANTED_MIN and self._turn.now_ms - bucket.oldest_grant_ms() > GRANTED_MS:
-            bucket.forget_granted(self._turn.now_ms, GRANTED_MS)
+        if (
+            len(bucket.granted) > MIN_REMEMBERED_GRANTS
+            and self._turn.now_ms - bucket.oldest_grant_ms() > GRANT_MEMORY_MS
+        ):
+            bucket.forget_granted(self._turn.now_ms, GRANT_MEMORY_MS)
         bucket.granted[key] = self._turn.now_ms
         bucket.level = max(-bucket.plan.burst, bucket.level - entry.units)
         if bucket.plan.max_in_flight:
             objective_ms = self._settings.classes[entry.class_index].latency_objective_ms
-            bucket.slots[key] = self._turn.now_ms + SLOT_OBJECTIVES * objective_ms
+            bucket.slots[key] = self._turn.now_ms + SLOT_LIFETIME_OBJECTIVES * objective_ms
 
     def _reply(self, kind: EntryKind, key: LeaseKey, entry: QuotaEntry, bucket: LeaderBucket) -> None:
         reply = entry._replace(kind=kind, demand_per_s=quota_accounts.per_second(bucket.demand))
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -4,21 +4,21 @@
 
 from gateway.gossip.codec import EntryKind, QuotaEntry
 from gateway.policy.context import PolicyComponent, PolicyContext
-from gateway.policy.dispatch.latency import GAIN, longest_wait_ms
+from gateway.policy.dispatch.latency import LATENCY_GAIN, longest_wait_ms
 from gateway.policy.quota.accounts import QuotaAccounts, per_second
 from gateway.policy.quota.entry_sender import EntrySender
 from gateway.policy.quota.lease_table import LeaseTable
 from gateway.policy.requests.request_record import RequestRecord
 from gateway.policy.timers import TimerKind
 
-START_REPLY_MS = 60.0  # the expected time of a leader's reply, before the first one
-OVERDUE_TIMES = 2.5  # expected times after which a reply is overdue,
-MIN_OVERDUE_MS = 30.0  # and no sooner than this
-LATE_TIMES = 2.0  # a reply that did not come in time is taken to need so many times what was waited
-INBOX_PART = 0.5  # of a leader's inbox that one customer may fill;
-QUOTA_TIMES = 2.0  # or so many times its quota
-MAX_LEASE_REQUESTS = 2  # for one request, before its leader counts as silent
-SILENCE_RETRY_MS = 250.0  # until a request whose leader is silent looks at the local bucket again
+INITIAL_REPLY_MS = 60.0  # expected reply time of a leader before its first reply
+OVERDUE_FACTOR = 2.5  # multiple of the expected reply time after which a reply is overdue
+MIN_OVERDUE_MS = 30.0  # minimum time after which a reply is overdue
+MISSED_REPLY_FACTOR = 2.0  # multiple of the time waited that a missing reply is assumed to take
+CUSTOMER_INBOX_FRACTION = 0.5  # fraction of a leader's inbox that the requests of one customer may fill
+CUSTOMER_QUOTA_FACTOR = 2.0  # multiple of a customer's quota that may be requested beyond that fraction
+MAX_LEASE_REQUESTS = 2  # lease requests sent for one request before its leader counts as silent
+SILENT_LEADER_RETRY_MS = 250.0  # interval at which a request with a silent leader retries the local bucket
 
 
 class QuotaListener(Protocol):
@@ -40,7 +40,7 @@
         self._listener = listener
         self._send = send
         self._silent_leaders: set[int] = set()  # that left a lease request unanswered
-        self.reply_ms = START_REPLY_MS  # expected time of a leader's reply
+        self.reply_ms = INITIAL_REPLY_MS  # expected time of a leader's reply
         self.leases = LeaseTable(context.settings)
 
     def admit(self, request: RequestRecord, wait_ms: float) -> bool:
@@ -58,7 +58,7 @@
         # Danger: who asks for many times its quota floods its leader's inbox, and what is lost there is
         # everyone's. So only so many ask as a leader can take in; the others have nothing to wait for.
         inbox_per_s = self._settings.gossip_inbox_per_s
-        taken_in_per_s = max(INBOX_PART * inbox_per_s, QUOTA_TIMES * plan.rate_per_s)
+        taken_in_per_s = max(CUSTOMER_INBOX_FRACTION * inbox_per_s, CUSTOMER_QUOTA_FACTOR * plan.rate_per_s)
         if not inbox_per_s or self._rng.random() * account.fleet_demand_per_s <= taken_in_per_s:
             self._request_lease(request)
         else:
@@ -79,7 +79,7 @@
             self._request_lease(request)
             return False
         self._silent_leaders.add(account.leader)
-        self._schedule(self._turn.now_ms + SILENCE_RETRY_MS, TimerKind.LEASE_REPLY_OVERDUE, request.id)
+        self._schedule(self._turn.now_ms + SILENT_LEADER_RETRY_MS, TimerKind.LEASE_REPLY_OVERDUE, request.id)
         if account.quota_level < 0 or (request.plan.max_in_flight and account.in_flight):
             return False
         return self._draw(request)
@@ -100,7 +100,9 @@
         # What we ask ourselves is answered in no time, and says nothing of how long a message takes.
         is_first = request.lease_requests == 1 and not request.leader_replied
         if is_first and sender != self._settings.number:
-            self.reply_ms += (self._turn.now_ms - request.lease_requested_at_ms - self.reply_ms) * GAIN
+            self.reply_ms += (
+                self._turn.now_ms - request.lease_requested_at_ms - self.reply_ms
+            ) * LATENCY_GAIN
         request.leader_replied = True
         if entry.kind is not EntryKind.DENY and request.units_drawn:
             return  # a duplicate, or it was admitted meanwhile
@@ -115,8 +117,8 @@
         """Return what a request that has ended drew and did not use, and its slot."""
         self.leases.remove(request)
         if request.lease_requests and not request.leader_replied:  # a reply takes longer than that
-            late_ms = LATE_TIMES * (self._turn.now_ms - request.arrived_at_ms)
-            self.reply_ms += max(0.0, late_ms - self.reply_ms) * GAIN
+            late_ms = MISSED_REPLY_FACTOR * (self._turn.now_ms - request.arrived_at_ms)
+            self.reply_ms += max(0.0, late_ms - self.reply_ms) * LATENCY_GAIN
         if request.units_drawn and (not request.attempts or request.plan.max_in_flight):
             self._tell_leader(EntryKind.RETURN, request)
 
@@ -139,7 +141,7 @@
         self._tell_leader(EntryKind.RETRY_REQUEST if is_retry else EntryKind.REQUEST, request)
         if not request.leader_replied:
             is_silent = request.account.leader in self._silent_leaders
-            overdue_ms = 0.0 if is_silent else max(MIN_OVERDUE_MS, OVERDUE_TIMES * self.reply_ms)
+            overdue_ms = 0.0 if is_silent else max(MIN_OVERDUE_MS, OVERDUE_FACTOR * self.reply_ms)
             self._schedule(self._turn.now_ms + overdue_ms, TimerKind.LEASE_REPLY_OVERDUE, request.id)
 
     def _tell_leader(self, kind: EntryKind, request: RequestRecord) -> None:
--- a/gateway/policy/quota/lease_table.py
+++ b/gateway/policy/quota/lease_table.py
@@ -6,7 +6,7 @@
 from gateway.interface.settings import Settings
 from gateway.policy.requests.request_record import RequestRecord
 
-MAX_LEASE_ID = 0xFFFF
+MAX_LEASE_ID = 0xFFFF  # lease ids have 16 bits in a datagram; 0 means that there is none
 
 
 class LeaseTable:
--- a/gateway/policy/requests/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -10,16 +10,20 @@
 from gateway.policy.dispatch.concurrency_limit import ConcurrencyLimiter
 from gateway.policy.dispatch.latency import LatencyEstimates
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
-from gateway.policy.endpoints.outlier_detection import FIRST_HAND_WEIGHT, SILENCE_WEIGHT, SLOW_RATIO
+from gateway.policy.endpoints.outlier_detection import (
+    OWN_OUTCOME_WEIGHT,
+    SILENCE_LATENCY_RATIO,
+    SILENCE_WEIGHT,
+)
 from gateway.policy.endpoints.selection import Eligible, EndpointSelector
 from gateway.policy.requests.attempt_table import AttemptKey, AttemptRecord, AttemptTable
 from gateway.policy.requests.request_record import RequestRecord
 from gateway.policy.timers import TimerKind
 
-MIN_HEDGE_MS = 150.0  # a second copy is sent no sooner
-HEDGE_LIMIT = 0.7  # of the concurrency limit: fuller, and no second copy is sent
-RETRY_PART = 0.2  # retries and hedges for each first attempt;
-MAX_RETRIES_SAVED = 20.0  # how many may be saved up
+MIN_HEDGE_MS = 150.0  # minimum time between an attempt and its hedge
+MAX_HEDGE_UTILIZATION = 0.7  # fraction of the concurrency limit in use that still permits hedges
+RETRIES_PER_REQUEST = 0.2  # retry budget earned by each first attempt, in retries and hedges
+MAX_RETRY_BUDGET = 20.0  # upper bound of the retry budget, in retries and hedges
 
 
 class AttemptManager(PolicyComponent):
@@ -31,7 +35,7 @@
         self.selector = EndpointSelector(context)
         self.latencies = LatencyEstimates(context.settings.classes)
         self.table = AttemptTable()
-        self.retry_budget = MAX_RETRIES_SAVED / 2
+        self.retry_budget = MAX_RETRY_BUDGET / 2
 
     def start(self, request: RequestRecord) -> bool:
         """Send a request to one more endpoint; False where none may have it."""
@@ -39,7 +43,7 @@
         if endpoint is None or request.attempts >= self._settings.max_attempts:
             return False
         if request.attempts == 0:
-            self.retry_budget = min(MAX_RETRIES_SAVED, self.retry_budget + RETRY_PART)
+            self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
         timeout_ms = max(1.0, request.arrival.deadline_at_ms - self._turn.now_ms)
         send_by_ms = self.resend_deadline_ms(request)
         self._act(SendAttempt(request.id, endpoint.entry.id, timeout_ms, send_by_ms))
@@ -64,7 +68,7 @@
         if not self._turn.stalled:  # silence is a failure too
             for endpoint in request.in_flight.values():
                 self.selector.outliers.learn(endpoint, request.request_class.name, math.inf, SILENCE_WEIGHT)
-        has_room = self.limiter.in_flight.mean < HEDGE_LIMIT * self.limiter.limit
+        has_room = self.limiter.in_flight.mean < MAX_HEDGE_UTILIZATION * self.limiter.limit
         if self._settings.may_hedge and has_room and len(request.in_flight) == 1:
             self.retry(request)
 
@@ -80,7 +84,7 @@
     def schedule_hedge(self, request: RequestRecord) -> None:
         """Plan to look at a request again when its attempt has taken too long."""
         expected_ms = self.latencies.expected_ms[request.request_class.name]
-        hedge_ms = max(MIN_HEDGE_MS, SLOW_RATIO * expected_ms)
+        hedge_ms = max(MIN_HEDGE_MS, SILENCE_LATENCY_RATIO * expected_ms)
         self._schedule(self._turn.now_ms + hedge_ms, TimerKind.HEDGE, request.id)
 
     def resend_deadline_ms(self, request: RequestRecord) -> float:
@@ -146,4 +150,4 @@
                 self.latencies.learn(name, event.elapsed_ms)
         tells_nothing = event.result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
         if not tells_nothing and not self._turn.stalled:
-            self.selector.outliers.learn(attempt.endpoint, name, latency_ratio, FIRST_HAND_WEIGHT)
+            self.selector.outliers.learn(attempt.endpoint, name, latency_ratio, OWN_OUTCOME_WEIGHT)
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -14,7 +14,7 @@
 from gateway.interface.settings import KeyScope
 from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.dispatch.dispatcher import Dispatcher
-from gateway.policy.dispatch.latency import ANSWER_PART
+from gateway.policy.dispatch.latency import MAX_RESPONSE_FRACTION
 from gateway.policy.quota.entry_sender import EntrySender
 from gateway.policy.quota.leader import QuotaLeader
 from gateway.policy.quota.lease_client import LeaseClient
@@ -23,9 +23,9 @@
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 from gateway.policy.timers import TimerKind
 
-MAX_QUEUE_PART = 0.45  # of a request's time that it may wait for at most
-DEFAULT_RETRY_AFTER_MS = 250.0  # advice to come again where nothing better is known
-DEADLINE_TICKS = 2  # so many ticks before its deadline a request has its final answer
+MAX_QUEUED_FRACTION = 0.45  # fraction of the time to its deadline that a request may be queued
+DEFAULT_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection
+DEADLINE_MARGIN_TICKS = 2  # ticks between a request's final answer and its deadline
 
 
 class RequestFlow(PolicyComponent):
@@ -161,7 +161,7 @@
         self.attempts.cancel(request)
 
     def _schedule_deadline(self, request: RequestRecord) -> None:
-        at_ms = request.arrival.deadline_at_ms - DEADLINE_TICKS * self._settings.tick_ms
+        at_ms = request.arrival.deadline_at_ms - DEADLINE_MARGIN_TICKS * self._settings.tick_ms
         self._schedule(at_ms, TimerKind.DEADLINE, request.id)
 
     def _queue_timeout_at_ms(self, request: RequestRecord) -> float:
@@ -175,6 +175,8 @@
         if request.request_class.late_weight <= 0:
             last_at_ms = min(deadline_at_ms, request.objective_at_ms)
         reserved = last_at_ms - self.attempts.latencies.reserve_ms(request.request_class)
-        at_least = now_ms + ANSWER_PART * (last_at_ms - now_ms)  # it leaves less than an answer usually takes
-        at_most = now_ms + MAX_QUEUE_PART * (deadline_at_ms - now_ms)
+        at_least = now_ms + MAX_RESPONSE_FRACTION * (
+            last_at_ms - now_ms
+        )  # it leaves less than an answer usually takes
+        at_most = now_ms + MAX_QUEUED_FRACTION * (deadline_at_ms - now_ms)
         return min(at_most, max(reserved, at_least))
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -16,7 +16,7 @@
     LimiterState,
 )
 
-LEASE_ID_DISTANCE = 0x8000  # lease ids of the two processes are so far apart: replies are told apart by them
+LEASE_ID_DISTANCE = 0x8000  # distance between the lease ids of predecessor and successor
 
 
 def export_state(controller: Controller, now_ms: float) -> GatewayState:
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -8,8 +8,8 @@
 from enum import IntEnum, auto
 from typing import NamedTuple
 
-CLOCK_GRAIN_MS = 0.001  # a timer expires, and a wake-up may come, so early
-SPARE_TIMERS = 256  # so many timers of ended requests may stay
+CLOCK_RESOLUTION_MS = 0.001  # time by which a timer may expire early
+MAX_STALE_TIMERS = 256  # timers of ended requests that may remain before the queue is compacted
 
 
 class TimerKind(IntEnum):
@@ -68,14 +68,14 @@
 
     def pop_expired(self, now_ms: float) -> Timer | None:
         """Take the first timer that has expired at `now_ms`, if there is one."""
-        if not self._heap or self._heap[0][0] > now_ms + CLOCK_GRAIN_MS:
+        if not self._heap or self._heap[0][0] > now_ms + CLOCK_RESOLUTION_MS:
             return None
         _, _, kind, subject = heapq.heappop(self._heap)
         return Timer(kind, subject)
 
     def on_turn(self, now_ms: float) -> None:
         """Take note that a turn has begun, by the wake-up that was asked for or otherwise."""
-        if now_ms >= self._wake_up_at_ms - CLOCK_GRAIN_MS:
+        if now_ms >= self._wake_up_at_ms - CLOCK_RESOLUTION_MS:
             self._wake_up_at_ms = math.inf
 
     def wake_up_in_ms(self, now_ms: float, open_requests: Container[int]) -> float | None:
@@ -95,7 +95,7 @@
 
     def compact(self, open_requests: Mapping[int, object]) -> None:
         """Drop the timers of requests that have ended, where there are many."""
-        if len(self._heap) <= SPARE_TIMERS + len(REQUEST_TIMERS) * len(open_requests):
+        if len(self._heap) <= MAX_STALE_TIMERS + len(REQUEST_TIMERS) * len(open_requests):
             return
         self._heap = [
             entry for entry in self._heap if entry[2] not in REQUEST_TIMERS or entry[3] in open_requests
--- a/tests/policy/quota/test_accounts.py
+++ b/tests/policy/quota/test_accounts.py
@@ -8,7 +8,7 @@
 from gateway.interface.events import (
     AttemptResult,
 )
-from gateway.policy.quota.accounts import FORGET_MS
+from gateway.policy.quota.accounts import IDLE_RETENTION_MS
 
 
 def forget(controller, now):
@@ -29,14 +29,14 @@
     wait_s = 12 / named(c.settings.plans)["rated"].rate_per_s
     forget(c, 1000 + wait_s * 500)
     assert len(c.flow.lease_client.accounts.by_key) == len(c.flow.leader.buckets) == 1  # half full
-    late = 1000 + max(wait_s * 1000, FORGET_MS) + 5000
+    late = 1000 + max(wait_s * 1000, IDLE_RETENTION_MS) + 5000
     while c.context.timers.first_at_ms < 2000:  # what waits for the store is served or gone by then
         c.handle(c.context.timers.first_at_ms, [])
     forget(c, late)
     assert len(c.flow.lease_client.accounts.by_key) == 1  # its request is open
     for request in list(c.flow.open.values()):
         c.flow.close(request)
-    forget(c, late + FORGET_MS)
+    forget(c, late + IDLE_RETENTION_MS)
     assert not c.flow.lease_client.accounts.by_key and not c.flow.leader.buckets
 
 
