--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -50,11 +50,13 @@
 )
 from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clients.request_parser import ParsedRequest, RequestParser
+from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clock import Clock, Timers
 from gateway.network.gossip_socket import GossipSocket
 from gateway.network.open_request import OpenRequest, upstream_head
 from gateway.network.recent_ids import RecentIds
-from gateway.network.upstream.connection import UpstreamAttempt, UpstreamConnection, UpstreamPool
+from gateway.network.upstream.attempt import AttemptOutcome, UpstreamAttempt
+from gateway.network.upstream.connection import UpstreamPool
 from gateway.network.upstream.response_sink import ResponseSink
 from gateway.policy.controller import Controller
 from gateway.policy.state_transfer import hot_restart
@@ -203,7 +205,7 @@
         self.enqueue(ClientDisconnected(request.id))
         for attempt in self._in_flight(request):
             if attempt.number == request.streaming_attempt:
-                attempt.end(AttemptResult.CANCELLED)
+                attempt.cancel()
 
     def _in_flight(self, request: OpenRequest) -> list[UpstreamAttempt]:
         """The attempts of a request that are out."""
@@ -290,7 +292,7 @@
         now = self.clock.now()
         for attempt in self._in_flight(request):
             attempt.started_ms = now
-            self.upstreams.allow(attempt, deadline_at_ms - MARGIN_MS - now)
+            self.upstreams.set_timeout(attempt, deadline_at_ms - MARGIN_MS - now)
         self.enqueue(RequestCompleted(request.id, deadline_at_ms - MARGIN_MS))
 
     def _close(self, request: OpenRequest) -> bool:
@@ -347,22 +349,22 @@
         timeout_ms = action.timeout_ms if upload is None or upload.is_complete else request.wait_ms
         message = request.message(timeout_ms)
         attempt = UpstreamAttempt(
-            request.id, number, action.endpoint, message, upload, self._ended, self._begun, action.send_by_ms
+            request.id, number, action.endpoint, message, upload, self, action.send_by_ms
         )
         self.attempts[request.id, number] = attempt
         self.upstreams.start(attempt, action.timeout_ms)
 
-    def _begun(
-        self, attempt: UpstreamAttempt, source: UpstreamConnection, length: int | None, content_type: bytes
+    def on_response_started(
+        self, attempt: UpstreamAttempt, source: ResponseSource, length: int | None, content_type: bytes
     ) -> ResponseSink | None:
         """A large answer begins to be passed on; not where the request has ended, or another answers."""
         request = self.open.get(attempt.request_id)
         if request is None or request.streaming_attempt is not None:
             return None
-        request.streaming_attempt, attempt.answered_ms = attempt.number, self.clock.now()
-        for alarm in (request.guard, attempt.alarm):  # from now on it ends when nothing moves any more
-            if alarm is not None:
-                alarm.cancel()
+        request.streaming_attempt = attempt.number
+        attempt.on_forwarding_started(self.clock.now())
+        if request.guard is not None:  # from now on it ends when nothing moves any more
+            request.guard.cancel()
         request.client.start_response(source, length, content_type)
         self.enqueue(ResponseStarted(request.id, attempt.number, attempt.endpoint_id))
         return request.client
@@ -377,33 +379,26 @@
         else:
             request.client.abort_response()
 
-    def _ended(
-        self,
-        attempt: UpstreamAttempt,
-        result: AttemptResult,
-        body: bytes,
-        content_type: bytes,
-        load: tuple[float, ...],
-    ) -> None:
+    def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """One attempt has its outcome. The first good one is the request's final answer."""
         del self.attempts[attempt.request_id, attempt.number]
         request = self.open.get(attempt.request_id)
+        result = outcome.result
         final = request is None
         if request is not None and request.streaming_attempt == attempt.number:
             final = True
             self._end_passing(request, result is AttemptResult.OK)
         elif request is not None and request.streaming_attempt is None and result is AttemptResult.OK:
-            final = self._finish(request, FinalStatus.FULFILLED, 200, body, content_type)
-        ended_ms = attempt.answered_ms or self.clock.now()  # of a large answer the first bytes count
+            final = self._finish(request, FinalStatus.FULFILLED, 200, outcome.body, outcome.content_type)
         self.enqueue(
             AttemptEnded(
                 attempt.request_id,
                 attempt.number,
                 attempt.endpoint_id,
-                ended_ms - attempt.started_ms,
+                attempt.latency_ms(self.clock.now()),
                 result,
                 final,
-                load=load,
+                load=outcome.load,
             )
         )
 
@@ -420,7 +415,7 @@
     def _cancel(self, action: CancelAttempt) -> None:
         attempt = self.attempts.get((action.id, action.attempt))
         if attempt is not None:
-            attempt.end(AttemptResult.CANCELLED)
+            attempt.cancel()
 
     def _wake(self, action: SetTimer) -> None:
         woken = TimerFired(action.name)
--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -9,7 +9,6 @@
 import math
 import os
 import select
-from collections.abc import Callable
 from typing import Any
 
 import httptools
@@ -17,8 +16,8 @@
 from gateway.config import EndpointEntry, EndpointList
 from gateway.interface.events import AttemptResult, EndpointState
 from gateway.network.admin.metrics import Metrics
-from gateway.network.clients.upload import Upload
-from gateway.network.clock import Clock, Timer, Timers
+from gateway.network.clock import Clock, Timers
+from gateway.network.upstream.attempt import AttemptOutcome, UpstreamAttempt
 from gateway.network.upstream.response_sink import ResponseSink
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
@@ -40,90 +39,6 @@
 
 log = logging.getLogger(__name__)
 
-Done = Callable[["UpstreamAttempt", AttemptResult, bytes, bytes, tuple[float, ...]], None]
-Begin = Callable[["UpstreamAttempt", "UpstreamConnection", int | None, bytes], ResponseSink | None]
-
-
-class UpstreamAttempt:
-    """One request on its way to one endpoint; ends once, with `done(attempt, result, body, type, load)`.
-
-    An answer too large to be held goes to the client that `begin` names, as it comes.
-    """
-
-    __slots__ = (
-        "alarm",
-        "answered_ms",
-        "begin",
-        "connect_task",
-        "connect_timer",
-        "connection",
-        "done",
-        "endpoint_id",
-        "message",
-        "number",
-        "request_id",
-        "send_by_ms",
-        "send_by_timer",
-        "started_ms",
-        "upload",
-    )
-
-    def __init__(
-        self,
-        request_id: int,
-        number: int,
-        endpoint_id: str,
-        message: bytes,
-        upload: Upload | None,
-        done: Done,
-        begin: Begin,
-        send_by_ms: float = math.inf,
-    ) -> None:
-        self.request_id, self.number, self.endpoint_id, self.message = (
-            request_id,
-            number,
-            endpoint_id,
-            message,
-        )
-        self.upload = upload  # what of the request is still to come
-        self.done: Done | None = done
-        self.begin, self.send_by_ms = begin, send_by_ms
-        self.started_ms = self.answered_ms = 0.0  # when sent, and when an answer began to be passed on
-        self.connection: UpstreamConnection | None = None
-        self.connect_task: asyncio.Task[Any] | None = None
-        self.alarm: Timer | None = None
-        self.connect_timer: Timer | None = None
-        self.send_by_timer: Timer | None = None
-
-    def may_send(self, now: float) -> bool:
-        """Whether its first byte may go out now."""
-        return now < self.send_by_ms and (self.upload is None or self.upload.may_send())
-
-    def expire(self) -> None:
-        """Its last byte may no longer go out. Where it has not, the request never runs by this attempt."""
-        if self.connection is None or self.connection.is_unsent:
-            self.end(AttemptResult.NOT_SENT)
-
-    def end(
-        self,
-        result: AttemptResult,
-        body: bytes = b"",
-        content_type: bytes = b"",
-        load: tuple[float, ...] = (),
-    ) -> None:
-        """Tell the outcome, once, and give up what the attempt still holds."""
-        done, self.done = self.done, None
-        if done is None:
-            return
-        for alarm in (self.alarm, self.connect_timer, self.send_by_timer):
-            if alarm is not None:
-                alarm.cancel()
-        if self.connect_task is not None:
-            self.connect_task.cancel()
-        if self.connection is not None:  # no whole answer has come: the endpoint learns by the end of it
-            self.connection.discard()
-        done(self, result, body, content_type, load)
-
 
 class UpstreamConnection(asyncio.Protocol):
     """One connection to an endpoint; it carries one attempt at a time."""
@@ -134,7 +49,7 @@
         self.attempt: UpstreamAttempt | None = None
         self.idle_since_ms = 0.0
         self.closed = False
-        self.is_unsent = True  # the last byte of a request has not been handed to the system
+        self.is_request_unsent = True  # the last byte of a request has not been handed to the system
         self.blocked = False  # the system takes no more for now
         self.last_progress_ms = 0.0  # when something last came or went of what is passed on,
         self.waits = 0  # and how much waited to go out when that was last looked at
@@ -163,8 +78,8 @@
         loop tells it at the end of the turn in which it was written.
         """
         self.blocked, self.last_progress_ms = True, self.pool.clock.now()
-        if not self.is_unsent:
-            self.is_unsent = True
+        if not self.is_request_unsent:
+            self.is_request_unsent = True
             self.pool.metrics.relayed -= 1
         if self.attempt is not None and self.attempt.upload is not None:
             self.attempt.upload.on_endpoint_blocked(blocked=True)
@@ -174,7 +89,7 @@
         upload = self.attempt.upload if self.attempt is not None else None
         if upload is not None:
             upload.on_endpoint_blocked(blocked=False)
-        if self.is_unsent and (upload is None or upload.is_complete):
+        if self.is_request_unsent and (upload is None or upload.is_complete):
             self._is_out()
 
     def write_part(self, data: bytes) -> None:
@@ -189,7 +104,7 @@
 
     def _is_out(self) -> None:
         """The endpoint has the whole request, for all that can be known here."""
-        self.is_unsent = False
+        self.is_request_unsent = False
         self.pool.metrics.relayed += 1
 
     def set_response_paused(self, paused: bool) -> None:
@@ -240,7 +155,7 @@
         self.parser = None  # it holds this connection: the two would wait for the collector
         self._leave()
         if self.attempt is not None:
-            self._fault(AttemptResult.CONNECT_FAILED if self.is_unsent else AttemptResult.RESET)
+            self._fault(AttemptResult.CONNECT_FAILED if self.is_request_unsent else AttemptResult.RESET)
 
     # -- the parser's callbacks
 
@@ -287,7 +202,7 @@
         """The answer is not held any longer: from now on it goes to the client as it comes."""
         attempt = self.attempt
         assert attempt is not None
-        self.client = attempt.begin(attempt, self, self.length, self.content_type)
+        self.client = attempt.start_forwarding(self, self.length, self.content_type)
         if self.client is None:  # nobody waits for it any more
             self.too_large = True
             return
@@ -323,7 +238,7 @@
         self.head_size = 0
         self.parser = httptools.HttpResponseParser(self)
         self.attempt, attempt.connection = attempt, self
-        self.is_unsent = True
+        self.is_request_unsent = True
         if attempt.upload is None:
             self.write_last(attempt.message)
         else:
@@ -340,24 +255,24 @@
         status, load = self.status, self.pool.load_from(self.load)
         body = self.body[0] if len(self.body) == 1 else b"".join(self.body)
         if (
-            self.pipelined or not self.keep or self.is_unsent
+            self.pipelined or not self.keep or self.is_request_unsent
         ):  # an answer may come before the request is whole
             self.discard()
         else:
             self.pool.release(self)
         if status == 200:
-            attempt.end(AttemptResult.OK, body, self.content_type, load)
+            attempt.end(AttemptOutcome(AttemptResult.OK, body, self.content_type, load))
         elif status in (503, 504) and self.is_not_executed:
-            attempt.end(AttemptResult.OVERLOADED, load=load)
+            attempt.end(AttemptOutcome(AttemptResult.OVERLOADED, load=load))
         else:  # also a 503 or 504 that does not say so: it may have run
-            attempt.end(AttemptResult.ERROR, load=load)
+            attempt.end(AttemptOutcome(AttemptResult.ERROR, load=load))
 
     def _fault(self, result: AttemptResult) -> None:
         attempt, self.attempt = self.attempt, None
         self.discard()
         if attempt is not None:
             attempt.connection = None
-            attempt.end(result)
+            attempt.fail(result)
 
     def is_stalled(self, now: float) -> bool:
         """Whether nothing moves any more: of a body on the endpoint's side, of an answer on either."""
@@ -371,7 +286,7 @@
 
     def abort_request(self) -> None:
         """Wait no longer."""
-        self._fault(AttemptResult.CONNECT_FAILED if self.is_unsent else AttemptResult.RESET)
+        self._fault(AttemptResult.CONNECT_FAILED if self.is_request_unsent else AttemptResult.RESET)
 
     def discard(self) -> None:
         """Close at once, whatever is still to come on it."""
@@ -489,7 +404,7 @@
         for connection in list(upstream.idle):
             connection.discard()
         for attempt in list(upstream.connecting):  # not a byte of these was written
-            attempt.end(AttemptResult.CONNECT_FAILED)
+            attempt.fail(AttemptResult.CONNECT_FAILED)
 
     def serves(self, upstream: Upstream) -> bool:
         return self._known.get(upstream.entry.endpoint.id) is upstream
@@ -501,24 +416,24 @@
         now = self.clock.now()
         attempt.started_ms = now
         if attempt.upload is None or attempt.upload.is_complete:  # else its time begins with its last byte
-            self.allow(attempt, timeout_ms)
+            self.set_timeout(attempt, timeout_ms)
         if attempt.send_by_ms < math.inf:
             attempt.send_by_timer = self._timers.at(attempt.send_by_ms, attempt.expire)
         upstream = self._known.get(attempt.endpoint_id)
         may_send = attempt.may_send(now)  # the loop may have been slow since this was decided
         kept = self._kept(upstream, now) if upstream is not None and may_send else None
         if not may_send:
-            self._loop.call_soon(attempt.end, AttemptResult.NOT_SENT)
+            self._loop.call_soon(attempt.fail, AttemptResult.NOT_SENT)
         elif kept is not None:
             kept.send_attempt(attempt)
         elif upstream is None or upstream.connections >= MAX_PER_UPSTREAM or self._connections >= self._max:
-            self._loop.call_soon(attempt.end, AttemptResult.CONNECT_FAILED)
+            self._loop.call_soon(attempt.fail, AttemptResult.CONNECT_FAILED)
         else:
             upstream.connections += 1
             self._connections += 1
             upstream.connecting.append(attempt)
             attempt.connect_timer = self._timers.at(
-                now + self._connect_timeout_ms, lambda: attempt.end(AttemptResult.CONNECT_FAILED)
+                now + self._connect_timeout_ms, lambda: attempt.fail(AttemptResult.CONNECT_FAILED)
             )
             connection = UpstreamConnection(self, upstream)
             attempt.connect_task = self._loop.create_task(
@@ -528,10 +443,10 @@
                 functools.partial(self._on_connected, upstream, attempt, connection)
             )
 
-    def allow(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
+    def set_timeout(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
         """An attempt may take so long from now on."""
-        attempt.alarm = self._timers.at(
-            self.clock.now() + timeout_ms, lambda: attempt.end(AttemptResult.TIMEOUT)
+        attempt.timeout_timer = self._timers.at(
+            self.clock.now() + timeout_ms, lambda: attempt.fail(AttemptResult.TIMEOUT)
         )
 
     def _kept(self, upstream: Upstream, now: float) -> UpstreamConnection | None:
@@ -564,12 +479,12 @@
             attempt.connect_timer.cancel()
         usable = not connect_task.cancelled() and problem is None and not connection.closed
         if not attempt.may_send(self.clock.now()):  # its alarm may be due too, and come after this
-            attempt.end(AttemptResult.NOT_SENT)
-        if usable and attempt.done is not None and self.serves(upstream):
+            attempt.fail(AttemptResult.NOT_SENT)
+        if usable and not attempt.is_ended and self.serves(upstream):
             connection.send_attempt(attempt)
         else:  # also when word of a drain came meanwhile: nothing may be written to it any more
             connection.discard()
-            attempt.end(AttemptResult.CONNECT_FAILED)
+            attempt.fail(AttemptResult.CONNECT_FAILED)
 
     # -- connections
 
