--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import functools
-import json
 import logging
 import math
 import os
@@ -18,6 +17,7 @@
 from gateway.network.admin.metrics import Metrics
 from gateway.network.clock import Clock, Timers
 from gateway.network.upstream.attempt import AttemptOutcome, UpstreamAttempt
+from gateway.network.upstream.load_report import LoadReportParser
 from gateway.network.upstream.response_sink import ResponseSink
 
 MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
@@ -34,7 +34,6 @@
 # A connection is used again after so long: a second answer, which would be taken for the next request's, may
 # come some milliseconds late (seen: up to 3.8), and shows by then.
 REUSE_DELAY_MS = 10.0
-MOST_LOAD = 1e6  # a field of a load report beyond that, or below nothing, is no report
 WHOLE_WRITE = 8 * 1024  # a request up to this size fits the empty buffer of any socket
 
 log = logging.getLogger(__name__)
@@ -252,7 +251,7 @@
         attempt.connection = None
         self.pool.passing.discard(self)
         self.client = None
-        status, load = self.status, self.pool.load_from(self.load)
+        status, load = self.status, self.pool.load_reports.parse(self.load)
         body = self.body[0] if len(self.body) == 1 else b"".join(self.body)
         if (
             self.pipelined or not self.keep or self.is_request_unsent
@@ -338,7 +337,8 @@
         self._loop, self.clock, self._timers, self.metrics = loop, clock, timers, metrics
         self.passing: set[UpstreamConnection] = set()  # whose bodies or answers are passed on as they come
         self._idle_ms, self._connect_timeout_ms = idle_ms * IDLE_PART, connect_timeout_ms
-        self._max, self._fields = max_connections, report_fields
+        self._max = max_connections
+        self.load_reports = LoadReportParser(report_fields)
         self._known: dict[str, Upstream] = {}
         self._connections = 0
         timers.at(clock.now() + SWEEP_MS, self._sweep)
@@ -513,14 +513,3 @@
         for upstream in self._known.values():
             while upstream.idle and now - upstream.idle[0].idle_since_ms > self._idle_ms - SWEEP_MS:
                 upstream.idle[0].discard()
-
-    def load_from(self, text: bytes) -> tuple[float, ...]:
-        """The load report in an answer's header; nothing where it lacks a field or cannot be read."""
-        if not text or not self._fields:
-            return ()
-        try:
-            report = json.loads(text)
-            values = tuple(float(report[field]) for field in self._fields)
-        except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
-            return ()
-        return values if all(math.isfinite(value) and 0 <= value <= MOST_LOAD for value in values) else ()
