--- a/gateway/network/clients/upload.py
+++ b/gateway/network/clients/upload.py
@@ -25,7 +25,9 @@
 class BodySink(Protocol):
     """The upstream's side of a body that is forwarded while it comes."""
 
-    blocked: bool
+    @property
+    def blocked(self) -> bool:
+        """Return whether the connection's write buffer is full."""
 
     def write_part(self, data: bytes) -> None:
         """Write a part of a request, not the last."""
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -56,7 +56,7 @@
 from gateway.network.open_request import OpenRequest, upstream_head
 from gateway.network.recent_ids import RecentIds
 from gateway.network.upstream.attempt import AttemptOutcome, UpstreamAttempt
-from gateway.network.upstream.connection import UpstreamPool
+from gateway.network.upstream.pool import UpstreamPool
 from gateway.network.upstream.response_sink import ResponseSink
 from gateway.policy.controller import Controller
 from gateway.policy.state_transfer import hot_restart
--- a/gateway/network/upstream/attempt.py
+++ b/gateway/network/upstream/attempt.py
@@ -13,7 +13,7 @@
 from gateway.network.upstream.response_sink import ResponseSink
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AttemptOutcome:
     """How an attempt ended, with the response where one was received."""
 
--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -1,515 +1,253 @@
-"""Connections to endpoints, and the attempts on them. Nothing is resent here: each attempt goes out once."""
+"""One connection to an endpoint: its transport, the request being written and the response being read."""
 
 from __future__ import annotations
 
 import asyncio
-import functools
-import logging
-import math
 import os
 import select
-from typing import Any
+from typing import Protocol, cast
 
-import httptools
-
-from gateway.config import EndpointEntry, EndpointList
-from gateway.interface.events import AttemptResult, EndpointState
+from gateway.interface.events import AttemptResult
 from gateway.network.admin.metrics import Metrics
-from gateway.network.clock import Clock, Timers
-from gateway.network.upstream.attempt import AttemptOutcome, UpstreamAttempt
+from gateway.network.clock import Clock
+from gateway.network.upstream.attempt import UpstreamAttempt
+from gateway.network.upstream.endpoint import UpstreamEndpoint
+from gateway.network.upstream.exchange import Exchange, ExchangeState
 from gateway.network.upstream.load_report import LoadReportParser
-from gateway.network.upstream.response_sink import ResponseSink
-
-MAX_HEAD, MAX_BODY = 16 * 1024, 64 * 1024 * 1024
-MAX_BUFFERED = (
-    64 * 1024
-)  # an answer up to this size is held until it is whole, and can be tried again if it breaks;
-MAX_BUFFERED_UNSIZED = 16 * 1024  # one that does not say how long it is, up to this
-STALL_MS = 10_000.0  # of an answer that is passed on something must move within so long
-UPLOAD_STALL_MS = 5000.0  # and an endpoint must take something of a body that waits for it
-IDLE_PART = 0.6  # of the time after which an endpoint closes an idle connection: ours are closed well before
-MAX_PER_UPSTREAM = 128  # connections to one endpoint, in use or idle
-MAX_IDLE = 24  # idle ones kept to one endpoint
-SWEEP_MS = 1000.0
-# A connection is used again after so long: a second answer, which would be taken for the next request's, may
-# come some milliseconds late (seen: up to 3.8), and shows by then.
-REUSE_DELAY_MS = 10.0
-WHOLE_WRITE = 8 * 1024  # a request up to this size fits the empty buffer of any socket
-
-log = logging.getLogger(__name__)
+from gateway.network.upstream.request_writer import RequestWriter
+
+STALL_TIMEOUT_MS = 10_000.0  # a response that is forwarded has to progress within this time
+UPLOAD_STALL_TIMEOUT_MS = 5000.0  # a blocked endpoint has to take bytes of the request within this time
+# Bytes above which the transport reports a full buffer. A smaller request fits the empty buffer of any
+# socket, so it counts as sent once it is written.
+WRITE_BUFFER_BYTES = 8 * 1024
+
+
+class ConnectionOwner(Protocol):
+    """The interface of the pool as its connections use it."""
+
+    def on_streaming_started(self, connection: UpstreamConnection) -> None:
+        """Begin to watch a connection that forwards a request or a response for stalls."""
+
+    def on_streaming_ended(self, connection: UpstreamConnection) -> None:
+        """Stop watching the connection for stalls."""
+
+    def on_connection_reusable(self, connection: UpstreamConnection) -> None:
+        """Keep or close a connection whose exchange is complete."""
+
+    def on_connection_closed(self, connection: UpstreamConnection) -> None:
+        """Forget a connection; called exactly once for each."""
+
+
+class UnconnectedTransport(asyncio.Transport):
+    """Stands for the transport until the connection is established."""
+
+    def is_closing(self) -> bool:
+        """Return True, as nothing can be read or written."""
+        return True
+
+    def abort(self) -> None:
+        """Do nothing, as there is nothing to close."""
+
+    def get_write_buffer_size(self) -> int:
+        """Return 0, as nothing is buffered."""
+        return 0
 
 
 class UpstreamConnection(asyncio.Protocol):
     """One connection to an endpoint; it carries one attempt at a time."""
 
-    def __init__(self, pool: UpstreamPool, upstream: Upstream) -> None:
-        self.pool, self.upstream = pool, upstream
-        self.transport: asyncio.Transport | None = None
-        self.attempt: UpstreamAttempt | None = None
+    def __init__(
+        self,
+        endpoint: UpstreamEndpoint,
+        owner: ConnectionOwner,
+        clock: Clock,
+        metrics: Metrics,
+        load_reports: LoadReportParser,
+    ) -> None:
+        """Prepare a connection to the endpoint; the event loop establishes it."""
+        self.endpoint = endpoint
+        self.transport: asyncio.Transport = UnconnectedTransport()
+        self.writer = RequestWriter(self.transport, metrics)
         self.idle_since_ms = 0.0
-        self.closed = False
-        self.is_request_unsent = True  # the last byte of a request has not been handed to the system
-        self.blocked = False  # the system takes no more for now
-        self.last_progress_ms = 0.0  # when something last came or went of what is passed on,
-        self.waits = 0  # and how much waited to go out when that was last looked at
-        self.parser: Any = None
-        self.head_size = self.status = 0
-        self._clear()
-
-    def _clear(self) -> None:
-        self.in_head, self.complete, self.pipelined, self.too_large = True, False, False, False
-        self.body: list[bytes] = []
-        self.body_size = 0
-        self.content_type = self.load = b""
-        self.is_not_executed = self.keep = self.ends_with_connection = self.chunked = False
-        self.length: int | None = None
-        self.client: ResponseSink | None = None  # to whom the answer is passed on
-
-    # -- the transport's callbacks
+        self.is_closed = False
+        self._owner = owner
+        self._clock = clock
+        self._metrics = metrics
+        self._load_reports = load_reports
+        self._exchange: Exchange | None = None
+        self._last_progress_ms = 0.0  # the clock's time of the last progress of what is forwarded
+        self._buffered_bytes = 0  # size of the receiver's write buffer at the last check for a stall
+
+    # -- callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]
-        # Only what may not fit the socket at once is watched: see pause_writing.
-        transport.set_write_buffer_limits(high=WHOLE_WRITE, low=0)  # type: ignore[attr-defined]
+        """Accept the established transport."""
+        self.transport = cast("asyncio.Transport", transport)
+        self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES, low=0)
+        self.writer = RequestWriter(self.transport, self._metrics)
 
     def pause_writing(self) -> None:
-        """A large request is not out: should the connection break now, the endpoint never had it whole. The
-        loop tells it at the end of the turn in which it was written.
+        """Record that the request does not fit the transport's buffer, and pause its client.
+
+        Should the connection break now, the endpoint has not received the complete request.
         """
-        self.blocked, self.last_progress_ms = True, self.pool.clock.now()
-        if not self.is_request_unsent:
-            self.is_request_unsent = True
-            self.pool.metrics.relayed -= 1
-        if self.attempt is not None and self.attempt.upload is not None:
-            self.attempt.upload.on_endpoint_blocked(blocked=True)
+        self._last_progress_ms = self._clock.now()
+        self.writer.on_buffer_full()
+        self._notify_upload(blocked=True)
 
     def resume_writing(self) -> None:
-        self.blocked, self.last_progress_ms = False, self.pool.clock.now()
-        upload = self.attempt.upload if self.attempt is not None else None
-        if upload is not None:
-            upload.on_endpoint_blocked(blocked=False)
-        if self.is_request_unsent and (upload is None or upload.is_complete):
-            self._is_out()
-
-    def write_part(self, data: bytes) -> None:
-        """A part of a request, not the last."""
-        self.transport.write(data)  # type: ignore[union-attr]
-
-    def write_last(self, data: bytes) -> None:
-        """The end of a request."""
-        self.transport.write(data)  # type: ignore[union-attr]
-        if not self.blocked:
-            self._is_out()
-
-    def _is_out(self) -> None:
-        """The endpoint has the whole request, for all that can be known here."""
-        self.is_request_unsent = False
-        self.pool.metrics.relayed += 1
-
-    def set_response_paused(self, paused: bool) -> None:
-        """The client of the answer takes no more for now, or again."""
-        self.last_progress_ms = self.pool.clock.now()
-        if self.transport is not None and not self.transport.is_closing():
-            if paused:
-                self.transport.pause_reading()
-            else:
-                self.transport.resume_reading()
+        """Record that the transport's buffer is empty, and resume the client."""
+        self._last_progress_ms = self._clock.now()
+        self.writer.on_buffer_empty()
+        self._notify_upload(blocked=False)
 
     def data_received(self, data: bytes) -> None:
-        if self.attempt is None or self.closed:
-            self.discard()  # nothing was asked: what comes now belongs to no request
+        """Read the response; bytes that belong to no request close the connection."""
+        exchange = self._exchange
+        if exchange is None or self.is_closed:
+            self.discard()
             return
-        if self.in_head:
-            self.head_size += len(data)
-        self.last_progress_ms = self.pool.clock.now()
-        try:
-            self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self.complete:
-                self._fault(AttemptResult.ERROR)
-                return
-            self.pipelined = True
-        if self.complete and not self.too_large:
-            self._answered()
-        elif self.too_large or (self.in_head and self.head_size > MAX_HEAD):
-            self._fault(AttemptResult.ERROR)
+        self._last_progress_ms = self._clock.now()
+        state = exchange.receive(data)
+        if state is ExchangeState.COMPLETE:
+            self._complete(exchange)
+        elif state is ExchangeState.FAILED:
+            self._fail(AttemptResult.ERROR)
+        elif exchange.sink is not None:
+            self._owner.on_streaming_started(self)
 
     def eof_received(self) -> None:
-        """The endpoint ends its sending: so ends an answer that has no other end."""
-        if self.attempt is not None and self.ends_with_connection and not self.closed and not self.is_reset():
-            self.complete, self.keep = True, False
-            self._answered()
-
-    def is_reset(self) -> bool:
-        """Whether the end that was told is a reset. Where one comes close behind the last bytes, the loop
-        reads these, sees that there is no more, and calls it an end; the error waits for who reads next.
-        """
-        try:
-            sock = self.transport.get_extra_info("socket")  # type: ignore[union-attr]
-            return os.read(sock.fileno(), 1) != b""
-        except OSError:
-            return True
-
-    def connection_lost(self, _problem: Exception | None) -> None:
-        self.parser = None  # it holds this connection: the two would wait for the collector
-        self._leave()
-        if self.attempt is not None:
-            self._fault(AttemptResult.CONNECT_FAILED if self.is_request_unsent else AttemptResult.RESET)
-
-    # -- the parser's callbacks
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        if self.complete or not self.in_head:  # of what comes behind, or a trailer
+        """Complete a response that ends with its connection."""
+        exchange = self._exchange
+        if exchange is None or self.is_closed or not exchange.ends_with_connection or self._is_reset():
             return
-        if len(name) in (6, 9, 12, 14):
-            name, value = name.lower(), value.strip(b" \t")  # the parser leaves the blanks behind a value
-            if name == b"x-load":
-                self.load = value
-            elif name == b"x-not-run":
-                self.is_not_executed = value == b"1"
-            elif name == b"content-type":
-                self.content_type = value
-            elif name == b"content-length":
-                # Refused by what it says, not by what has come: 3 GB would be read until then.
-                self.too_large = not value.isdigit() or len(value) > 9 or int(value) > MAX_BODY
-                self.length = None if self.too_large else int(value)
-        elif len(name) == 17 and name.lower() == b"transfer-encoding":
-            self.chunked = True
-
-    def on_headers_complete(self) -> None:
-        if self.complete:  # of what comes behind
-            return
-        self.in_head = False
-        self.status = self.parser.get_status_code()
-        self.ends_with_connection = self.length is None and not self.chunked and self.status not in (204, 304)
+        exchange.receive_eof()
+        self._complete(exchange)
 
-    def on_body(self, part: bytes) -> None:
-        if self.complete or self.too_large or self.attempt is None:
-            return
-        self.body_size += len(part)
-        self.too_large = self.body_size > MAX_BODY
-        if self.client is not None:
-            self.client.forward(part)
-            return
-        self.body.append(part)
-        if self.status == 200 and (
-            self.body_size > MAX_BUFFERED_UNSIZED if self.length is None else self.length > MAX_BUFFERED
-        ):
-            self._pass_on()
-
-    def _pass_on(self) -> None:
-        """The answer is not held any longer: from now on it goes to the client as it comes."""
-        attempt = self.attempt
-        assert attempt is not None
-        self.client = attempt.start_forwarding(self, self.length, self.content_type)
-        if self.client is None:  # nobody waits for it any more
-            self.too_large = True
-            return
-        self.pool.passing.add(self)
-        self.client.forward(b"".join(self.body))
-        self.body = []
-
-    def on_message_begin(self) -> None:
-        self.pipelined = self.complete  # a second answer where one was asked for
-
-    def on_message_complete(self) -> None:
-        if self.parser.get_status_code() < 200 and not self.complete:
-            self._clear()  # an interim answer; the real one follows. All of them share one limit on the head
-        elif not self.pipelined:
-            self.complete = True
-            self.status = self.parser.get_status_code()  # later it would be that of what comes behind
-            # Asked any later, the parser has forgotten the length and takes every answer for the last.
-            self.keep = self.parser.should_keep_alive()
-
-    def is_quiet(self) -> bool:
-        """Whether nothing waits on the connection: bytes, or its end. The loop may not have read them yet,
-        and once a request is out they would be taken for its answer, or for a reset that may have run.
-        """
-        watched = select.poll()
-        watched.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)  # type: ignore
-        return not watched.poll(0)
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Fail the attempt, if any, according to how much of the request was sent."""
+        result = self._result_of_break()
+        self._close()
+        if self._exchange is not None:
+            self._fail(result)
 
-    # -- one attempt
+    # -- attempts
+
+    @property
+    def is_request_unsent(self) -> bool:
+        """Return whether the request's last byte has not been handed to the operating system."""
+        return self.writer.is_unsent
 
     def send_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Write the request of the attempt, in one piece."""
-        self._clear()
-        self.head_size = 0
-        self.parser = httptools.HttpResponseParser(self)
-        self.attempt, attempt.connection = attempt, self
-        self.is_request_unsent = True
+        """Write the attempt's request, as far as it has been received."""
+        self._exchange = Exchange(attempt, self)
+        attempt.connection = self
+        self.writer.start()
         if attempt.upload is None:
-            self.write_last(attempt.message)
-        else:
-            self.last_progress_ms = self.pool.clock.now()
-            self.pool.passing.add(self)
-            attempt.upload.attach(self, attempt.message)
-
-    def _answered(self) -> None:
-        attempt, self.attempt = self.attempt, None
-        assert attempt is not None
-        attempt.connection = None
-        self.pool.passing.discard(self)
-        self.client = None
-        status, load = self.status, self.pool.load_reports.parse(self.load)
-        body = self.body[0] if len(self.body) == 1 else b"".join(self.body)
-        if (
-            self.pipelined or not self.keep or self.is_request_unsent
-        ):  # an answer may come before the request is whole
-            self.discard()
-        else:
-            self.pool.release(self)
-        if status == 200:
-            attempt.end(AttemptOutcome(AttemptResult.OK, body, self.content_type, load))
-        elif status in (503, 504) and self.is_not_executed:
-            attempt.end(AttemptOutcome(AttemptResult.OVERLOADED, load=load))
-        else:  # also a 503 or 504 that does not say so: it may have run
-            attempt.end(AttemptOutcome(AttemptResult.ERROR, load=load))
-
-    def _fault(self, result: AttemptResult) -> None:
-        attempt, self.attempt = self.attempt, None
-        self.discard()
-        if attempt is not None:
-            attempt.connection = None
-            attempt.fail(result)
-
-    def is_stalled(self, now: float) -> bool:
-        """Whether nothing moves any more: of a body on the endpoint's side, of an answer on either."""
-        end = self.transport if self.client is None else self.client.transport
-        waits = end.get_write_buffer_size() if end is not None else 0
-        if waits != self.waits:  # a slow one that takes something all the same
-            self.waits, self.last_progress_ms = waits, now
-        if self.client is None:
-            return self.blocked and now - self.last_progress_ms > UPLOAD_STALL_MS
-        return now - self.last_progress_ms > STALL_MS
-
-    def abort_request(self) -> None:
-        """Wait no longer."""
-        self._fault(AttemptResult.CONNECT_FAILED if self.is_request_unsent else AttemptResult.RESET)
-
-    def discard(self) -> None:
-        """Close at once, whatever is still to come on it."""
-        self.attempt = None
-        self._leave()
-        if self.transport is not None:
-            self.transport.abort()
-
-    def _leave(self) -> None:
-        if not self.closed:
-            self.closed = True
-            self.pool.passing.discard(self)
-            self.pool.forget(self)
+            self.writer.write_last(attempt.message)
+            return
+        self._last_progress_ms = self._clock.now()
+        self._owner.on_streaming_started(self)
+        attempt.upload.attach(self.writer, attempt.message)
 
+    def set_response_paused(self, paused: bool) -> None:
+        """Stop or resume reading the response, because its client is slow."""
+        self._last_progress_ms = self._clock.now()
+        if self.transport.is_closing():
+            return
+        if paused:
+            self.transport.pause_reading()
+        else:
+            self.transport.resume_reading()
 
-class Upstream:
-    """One process of an endpoint, as discovery lists it, with our connections to it."""
+    def abort_attempt(self) -> None:
+        """Fail the attempt in progress and close the connection."""
+        self._fail(self._result_of_break())
 
-    __slots__ = ("connecting", "connections", "entry", "idle")
+    def discard(self) -> None:
+        """Close the connection at once; bytes that are still to come are lost."""
+        self._end_exchange()
+        self._close()
+        self.transport.abort()
 
-    def __init__(self, entry: EndpointEntry) -> None:
-        self.entry = entry
-        self.idle: list[UpstreamConnection] = []  # the most recently used is last
-        self.connections = 0  # open or being opened
-        self.connecting: list[UpstreamAttempt] = []
+    def _complete(self, exchange: Exchange) -> None:
+        """Report a complete response, and keep the connection if it is reusable.
 
-    def is_same_process(self, entry: EndpointEntry) -> bool:
-        return (
-            self.entry.address == entry.address
-            and self.entry.endpoint.started_ms == entry.endpoint.started_ms
-        )
+        A response may arrive before the request is sent completely; its connection is not reusable.
+        """
+        exchange.attempt.connection = None
+        self._end_exchange()
+        outcome = exchange.outcome(self._load_reports)
+        if exchange.is_reusable and not self.writer.is_unsent:
+            self._owner.on_connection_reusable(self)
+        else:
+            self.discard()
+        exchange.attempt.end(outcome)
 
+    def _fail(self, result: AttemptResult) -> None:
+        """Close the connection, then report the result of its attempt, if any."""
+        exchange = self._exchange
+        self.discard()
+        if exchange is not None:
+            exchange.attempt.connection = None
+            exchange.attempt.fail(result)
 
-class UpstreamPool:
-    """The endpoints that discovery has named, by name."""
+    def _end_exchange(self) -> None:
+        if self._exchange is not None:
+            self._exchange.close()
+            self._exchange = None
+            self._owner.on_streaming_ended(self)
 
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        clock: Clock,
-        timers: Timers,
-        metrics: Metrics,
-        *,
-        idle_ms: float,
-        connect_timeout_ms: float,
-        max_connections: int,
-        report_fields: tuple[str, ...],
-    ) -> None:
-        self._loop, self.clock, self._timers, self.metrics = loop, clock, timers, metrics
-        self.passing: set[UpstreamConnection] = set()  # whose bodies or answers are passed on as they come
-        self._idle_ms, self._connect_timeout_ms = idle_ms * IDLE_PART, connect_timeout_ms
-        self._max = max_connections
-        self.load_reports = LoadReportParser(report_fields)
-        self._known: dict[str, Upstream] = {}
-        self._connections = 0
-        timers.at(clock.now() + SWEEP_MS, self._sweep)
-
-    def limit(self, connections: int) -> None:
-        """Hold no more connections than that."""
-        self._max = connections
+    def _close(self) -> None:
+        if not self.is_closed:
+            self.is_closed = True
+            self._owner.on_streaming_ended(self)
+            self._owner.on_connection_closed(self)
 
-    @property
-    def connections(self) -> int:
-        return self._connections
+    def _notify_upload(self, *, blocked: bool) -> None:
+        if self._exchange is not None and self._exchange.attempt.upload is not None:
+            self._exchange.attempt.upload.on_endpoint_blocked(blocked=blocked)
 
-    def close_idle_connections(self) -> None:
-        """Close all connections that carry nothing."""
-        for upstream in self._known.values():
-            for connection in list(upstream.idle):
-                connection.discard()
+    def _result_of_break(self) -> AttemptResult:
+        """Return the result of an attempt whose connection ends now."""
+        return AttemptResult.CONNECT_FAILED if self.writer.is_unsent else AttemptResult.RESET
 
-    # -- discovery
+    # -- checks
 
-    def update(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
-        """Take in a list. What left service or runs anew loses its idle connections and waiting attempts.
+    def has_unread_input(self) -> bool:
+        """Return whether bytes or the connection's end wait in the socket.
 
-        The answer is those that are gone though the list does not say so yet: a new endpoint has their
-        address,
-        and what was sent to them would come to it, cold as it is.
+        The event loop may not have read them yet. After the next request is written they would be taken for
+        its response, or for a reset of it.
         """
-        if endpoint_list.is_snapshot:
-            listed = {entry.endpoint.id for entry in endpoint_list.entries}
-            for name in [name for name in self._known if name not in listed]:
-                self._retire(self._known.pop(name))
-        for entry in endpoint_list.entries:
-            name = entry.endpoint.id
-            upstream = self._known.get(name)
-            if upstream is not None and (
-                entry.endpoint.state is not EndpointState.READY or not upstream.is_same_process(entry)
-            ):
-                self._retire(self._known.pop(name))
-                upstream = None
-            if upstream is not None:
-                upstream.entry = entry
-            elif entry.endpoint.state is EndpointState.READY:
-                self._known[name] = Upstream(entry)
-        successors = {
-            entry.address: entry.endpoint
-            for entry in endpoint_list.entries
-            if entry.endpoint.state is EndpointState.READY
-        }
-        displaced = []
-        for name, upstream in list(self._known.items()):
-            successor = successors.get(upstream.entry.address)
-            if (
-                successor is not None
-                and successor.id != name
-                and successor.started_ms >= upstream.entry.endpoint.started_ms
-            ):
-                self._retire(self._known.pop(name))
-                displaced.append(upstream.entry)
-        return displaced
-
-    def _retire(self, upstream: Upstream) -> None:
-        """Nothing new goes there. What is on its way may still be answered."""
-        for connection in list(upstream.idle):
-            connection.discard()
-        for attempt in list(upstream.connecting):  # not a byte of these was written
-            attempt.fail(AttemptResult.CONNECT_FAILED)
-
-    def serves(self, upstream: Upstream) -> bool:
-        return self._known.get(upstream.entry.endpoint.id) is upstream
+        poll = select.poll()
+        poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
+        return bool(poll.poll(0))
 
-    # -- attempts
+    def is_stalled(self, now_ms: float) -> bool:
+        """Return whether an upload to the endpoint, or a response to its client, makes no progress.
 
-    def start(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
-        """Send on a kept connection, or on a new one. The outcome never comes before this returns."""
-        now = self.clock.now()
-        attempt.started_ms = now
-        if attempt.upload is None or attempt.upload.is_complete:  # else its time begins with its last byte
-            self.set_timeout(attempt, timeout_ms)
-        if attempt.send_by_ms < math.inf:
-            attempt.send_by_timer = self._timers.at(attempt.send_by_ms, attempt.expire)
-        upstream = self._known.get(attempt.endpoint_id)
-        may_send = attempt.may_send(now)  # the loop may have been slow since this was decided
-        kept = self._kept(upstream, now) if upstream is not None and may_send else None
-        if not may_send:
-            self._loop.call_soon(attempt.fail, AttemptResult.NOT_SENT)
-        elif kept is not None:
-            kept.send_attempt(attempt)
-        elif upstream is None or upstream.connections >= MAX_PER_UPSTREAM or self._connections >= self._max:
-            self._loop.call_soon(attempt.fail, AttemptResult.CONNECT_FAILED)
-        else:
-            upstream.connections += 1
-            self._connections += 1
-            upstream.connecting.append(attempt)
-            attempt.connect_timer = self._timers.at(
-                now + self._connect_timeout_ms, lambda: attempt.fail(AttemptResult.CONNECT_FAILED)
-            )
-            connection = UpstreamConnection(self, upstream)
-            attempt.connect_task = self._loop.create_task(
-                self._loop.create_connection(lambda: connection, *upstream.entry.address)
-            )
-            attempt.connect_task.add_done_callback(
-                functools.partial(self._on_connected, upstream, attempt, connection)
-            )
-
-    def set_timeout(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
-        """An attempt may take so long from now on."""
-        attempt.timeout_timer = self._timers.at(
-            self.clock.now() + timeout_ms, lambda: attempt.fail(AttemptResult.TIMEOUT)
-        )
-
-    def _kept(self, upstream: Upstream, now: float) -> UpstreamConnection | None:
-        """The kept connection used last that has rested and on which nothing waits. Where something does, it
-        is closed.
+        A slow receiver makes progress as long as the write buffer towards it changes its size.
         """
-        for connection in [
-            one for one in reversed(upstream.idle) if now - one.idle_since_ms >= REUSE_DELAY_MS
-        ]:
-            if connection.is_quiet():
-                upstream.idle.remove(connection)
-                return connection
-            connection.discard()
-        return None
-
-    def _on_connected(
-        self,
-        upstream: Upstream,
-        attempt: UpstreamAttempt,
-        connection: UpstreamConnection,
-        connect_task: asyncio.Task[Any],
-    ) -> None:
-        """A connection has come up, or has not. Called for a cancelled task too, even one never begun."""
-        upstream.connecting.remove(attempt)
-        attempt.connect_task = None
-        problem = None if connect_task.cancelled() else connect_task.exception()
-        if problem is not None and not isinstance(problem, OSError):
-            log.error("connecting to %s failed", upstream.entry.address, exc_info=problem)
-        if attempt.connect_timer is not None:
-            attempt.connect_timer.cancel()
-        usable = not connect_task.cancelled() and problem is None and not connection.closed
-        if not attempt.may_send(self.clock.now()):  # its alarm may be due too, and come after this
-            attempt.fail(AttemptResult.NOT_SENT)
-        if usable and not attempt.is_ended and self.serves(upstream):
-            connection.send_attempt(attempt)
-        else:  # also when word of a drain came meanwhile: nothing may be written to it any more
-            connection.discard()
-            attempt.fail(AttemptResult.CONNECT_FAILED)
-
-    # -- connections
-
-    def release(self, connection: UpstreamConnection) -> None:
-        upstream = connection.upstream
-        if connection.closed or not self.serves(upstream) or len(upstream.idle) >= MAX_IDLE:
-            connection.discard()
-            return
-        connection.idle_since_ms = self.clock.now()
-        upstream.idle.append(connection)
-
-    def forget(self, connection: UpstreamConnection) -> None:
-        """The connection has ended, or never came up."""
-        upstream = connection.upstream
-        upstream.connections -= 1
-        self._connections -= 1
-        if connection in upstream.idle:
-            upstream.idle.remove(connection)
-
-    def _sweep(self) -> None:
-        """Close what has been idle for long, before the endpoint does: that could cross a request."""
-        now = self.clock.now()
-        self._timers.at(now + SWEEP_MS, self._sweep)
-        for connection in [one for one in self.passing if one.is_stalled(now)]:
-            connection.abort_request()
-        for upstream in self._known.values():
-            while upstream.idle and now - upstream.idle[0].idle_since_ms > self._idle_ms - SWEEP_MS:
-                upstream.idle[0].discard()
+        sink = None if self._exchange is None else self._exchange.sink
+        receiver = self.transport if sink is None else sink.transport
+        buffered_bytes = 0 if receiver is None else receiver.get_write_buffer_size()
+        if buffered_bytes != self._buffered_bytes:
+            self._buffered_bytes = buffered_bytes
+            self._last_progress_ms = now_ms
+        without_progress_ms = now_ms - self._last_progress_ms
+        if sink is None:
+            return self.writer.blocked and without_progress_ms > UPLOAD_STALL_TIMEOUT_MS
+        return without_progress_ms > STALL_TIMEOUT_MS
+
+    def _is_reset(self) -> bool:
+        """Return whether the end that was reported is a reset.
+
+        Where a reset closely follows the last bytes, the event loop reads these, finds no more and reports an
+        end. The error remains pending for the next read of the socket.
+        """
+        try:
+            return os.read(self.transport.get_extra_info("socket").fileno(), 1) != b""
+        except OSError:
+            return True
--- /dev/null
+++ b/gateway/network/upstream/endpoint_registry.py
@@ -0,0 +1,66 @@
+"""The endpoints that attempts can be sent to, kept in line with discovery's list."""
+
+from __future__ import annotations
+
+from gateway.config import EndpointEntry, EndpointList
+from gateway.interface.events import EndpointState
+from gateway.network.upstream.endpoint import UpstreamEndpoint
+
+
+class EndpointRegistry:
+    """The processes of the ready endpoints."""
+
+    def __init__(self) -> None:
+        """Begin without endpoints."""
+        self.endpoints: dict[str, UpstreamEndpoint] = {}  # by the endpoint's id
+
+    def update(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
+        """Apply a snapshot or an incremental update of the endpoint list.
+
+        An endpoint that left service or restarted loses its idle connections and its attempts that wait for a
+        connection. Returns the endpoints that are retired without being listed as such, because another one
+        now has their address and would receive their attempts.
+        """
+        if endpoint_list.is_snapshot:
+            self._retire_unlisted(endpoint_list)
+        for entry in endpoint_list.entries:
+            self._apply(entry)
+        return self._retire_displaced(endpoint_list)
+
+    def _retire_unlisted(self, snapshot: EndpointList) -> None:
+        listed = {entry.endpoint.id for entry in snapshot.entries}
+        for endpoint_id in [endpoint_id for endpoint_id in self.endpoints if endpoint_id not in listed]:
+            self._retire(endpoint_id)
+
+    def _apply(self, entry: EndpointEntry) -> None:
+        endpoint_id = entry.endpoint.id
+        is_ready = entry.endpoint.state is EndpointState.READY
+        registered = self.endpoints.get(endpoint_id)
+        if registered is not None and is_ready and registered.is_same_process(entry):
+            registered.entry = entry
+            return
+        if registered is not None:
+            self._retire(endpoint_id)
+        if is_ready:
+            self.endpoints[endpoint_id] = UpstreamEndpoint(entry)
+
+    def _retire_displaced(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
+        """Retire the endpoints whose address belongs to another one that started no earlier."""
+        successors = {
+            entry.address: entry.endpoint
+            for entry in endpoint_list.entries
+            if entry.endpoint.state is EndpointState.READY
+        }
+        displaced = []
+        for endpoint_id, endpoint in list(self.endpoints.items()):
+            entry = endpoint.entry
+            successor = successors.get(entry.address)
+            if successor is None or successor.id == endpoint_id:
+                continue
+            if successor.started_ms >= entry.endpoint.started_ms:
+                self._retire(endpoint_id)
+                displaced.append(entry)
+        return displaced
+
+    def _retire(self, endpoint_id: str) -> None:
+        self.endpoints.pop(endpoint_id).retire()
--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -63,6 +63,6 @@
 async def test_descriptors_for_the_admin_endpoint_are_reserved(sockets):
     """Under a limit of 192 they could have held 168, with 26 to 28 in use beside them."""
     gateway = Gate(Script(), limits={"sockets": sockets}).gateway
-    rest = sockets - gateway.connections.max_admitted - gateway.upstreams._max
+    rest = sockets - gateway.connections.max_admitted - gateway.upstreams.max_connections
     assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + door.MOST + 3
     assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)  # as before
--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -57,7 +57,7 @@
 
 
 async def test_no_attempt_starts_for_a_client_whose_end_is_unread(monkeypatch, endpoint, gate, client):
-    monkeypatch.setattr("gateway.network.upstream.connection.REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr("gateway.network.upstream.endpoint.REUSE_DELAY_MS", 0.0)
     await exchange(endpoint, client)  # leaves a connection on which a request goes out at once
     await gate.script.event(RequestArrived)
     await gate.script.event(AttemptEnded)
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -76,13 +76,13 @@
     writer.transport.pause_reading()
     (one,) = gate.gateway.connections.all
     (attempt,) = gate.gateway.attempts.values()
-    await until(lambda: attempt.connection and attempt.connection.blocked and one.held_ms)
+    await until(lambda: attempt.connection and attempt.connection.writer.blocked and one.held_ms)
     assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
     gate.gateway.connections.sweep(gate.gateway.clock.now() + 60_000, False)
     assert not one.ending  # the delay is not the client's
     gate.gateway.upstreams._sweep()
-    assert gate.gateway.attempts and attempt.connection.waits
-    monkeypatch.setattr(workers, "UPLOAD_STALL_MS", -1.0)
+    assert gate.gateway.attempts and attempt.connection._buffered_bytes
+    monkeypatch.setattr(workers, "UPLOAD_STALL_TIMEOUT_MS", -1.0)
     gate.gateway.upstreams._sweep()  # but one that never takes anything is not waited for
     assert (await gate.script.event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
     assert (await client.answer())[0] == 502  # as the script has it
--- a/tests/network/test_streamed_responses.py
+++ b/tests/network/test_streamed_responses.py
@@ -100,7 +100,7 @@
     _, _, writer = await endpoint.asked()
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + bytes(100_000))
     await gate.script.event(ResponseStarted)
-    monkeypatch.setattr(workers, "STALL_MS", -1.0)
+    monkeypatch.setattr(workers, "STALL_TIMEOUT_MS", -1.0)
     gate.gateway.upstreams._sweep()
     gate.gateway.upstreams._sweep()  # by now nothing has changed since the last look
     assert (await gate.script.event(AttemptEnded)).result is AttemptResult.RESET and not gate.gateway.open
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -94,7 +94,7 @@
     go.set()
     done = await gate.script.event(AttemptEnded)
     assert (done.result, done.final) == (AttemptResult.NOT_SENT, True)
-    while gate.gateway.upstreams._connections > len(gate.gateway.upstreams._known["w1"].idle):
+    while gate.gateway.upstreams._connections > len(gate.gateway.upstreams.registry.endpoints["w1"].idle):
         await asyncio.sleep(0)
     assert endpoint.requests.empty() and not gate.gateway.attempts
 
--- /dev/null
+++ b/tests/network/upstream/test_endpoint.py
@@ -0,0 +1,125 @@
+"""Tests of an endpoint's connections, without a socket."""
+
+import dataclasses
+
+import pytest
+
+from gateway.config import EndpointEntry
+from gateway.interface.events import AttemptResult, Endpoint, EndpointState
+from gateway.network.upstream.endpoint import (
+    MAX_CONNECTIONS_PER_ENDPOINT,
+    MAX_IDLE_PER_ENDPOINT,
+    REUSE_DELAY_MS,
+    UpstreamEndpoint,
+)
+
+ENTRY = EndpointEntry(Endpoint("w1", "a", 0, EndpointState.READY, 1.0, 1000.0), ("127.0.0.1", 5001))
+
+
+class FakeConnection:
+    """A connection that reports its close to the endpoint, as the pool does for a real one."""
+
+    def __init__(self, endpoint, *, has_input=False):
+        self.endpoint = endpoint
+        self.has_input = has_input
+        self.idle_since_ms = 0.0
+        self.is_closed = False
+        endpoint.connections += 1
+
+    def has_unread_input(self):
+        return self.has_input
+
+    def discard(self):
+        assert not self.is_closed
+        self.is_closed = True
+        self.endpoint.on_connection_closed(self)
+
+
+class FakeAttempt:
+    """An attempt that waits for a connection; it leaves the endpoint's list when it fails."""
+
+    def __init__(self, endpoint):
+        self.endpoint = endpoint
+        self.result = None
+        endpoint.connecting.append(self)
+
+    def fail(self, result):
+        self.result = result
+        self.endpoint.connecting.remove(self)
+
+
+@pytest.fixture
+def endpoint():
+    return UpstreamEndpoint(ENTRY)
+
+
+def idle_connections(endpoint, *since_ms, has_input=False):
+    connections = [FakeConnection(endpoint, has_input=has_input) for _ in since_ms]
+    for connection, time_ms in zip(connections, since_ms, strict=True):
+        assert endpoint.keep_idle(connection, time_ms)
+    return connections
+
+
+def test_most_recently_used_rested_connection_is_taken(endpoint):
+    older, newer, _resting = idle_connections(endpoint, 0.0, 1.0, 5.0)
+    assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is newer
+    assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is older
+    assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is None
+    assert endpoint.connections == 3
+
+
+def test_connection_is_not_taken_before_the_reuse_delay(endpoint):
+    idle_connections(endpoint, 100.0)
+    assert endpoint.take_idle(100.0 + REUSE_DELAY_MS - 0.001) is None
+    assert len(endpoint.idle) == 1
+
+
+def test_connections_with_unread_input_are_closed_instead_of_taken(endpoint):
+    (clean,) = idle_connections(endpoint, 0.0)
+    dirty = idle_connections(endpoint, 1.0, 2.0, has_input=True)
+    assert endpoint.take_idle(1000.0) is clean
+    assert all(connection.is_closed for connection in dirty)
+    assert endpoint.idle == []
+    assert endpoint.connections == 1
+
+
+def test_idle_connections_are_limited(endpoint):
+    idle_connections(endpoint, *range(MAX_IDLE_PER_ENDPOINT))
+    assert not endpoint.keep_idle(FakeConnection(endpoint), 1000.0)
+
+
+def test_connections_are_limited(endpoint):
+    endpoint.connections = MAX_CONNECTIONS_PER_ENDPOINT - 1
+    assert endpoint.has_capacity()
+    endpoint.connections += 1
+    assert not endpoint.has_capacity()
+
+
+def test_only_connections_idle_since_before_the_time_are_closed(endpoint):
+    old, limit, new = idle_connections(endpoint, 1.0, 2.0, 3.0)
+    endpoint.close_idle_before(2.0)
+    assert (old.is_closed, limit.is_closed, new.is_closed) == (True, False, False)
+
+
+def test_retired_endpoint_closes_idle_connections_and_fails_waiting_attempts(endpoint):
+    connections = idle_connections(endpoint, 1.0, 2.0)
+    in_use = FakeConnection(endpoint)
+    attempts = [FakeAttempt(endpoint), FakeAttempt(endpoint)]
+    endpoint.retire()
+    assert all(connection.is_closed for connection in connections)
+    assert not in_use.is_closed
+    assert [attempt.result for attempt in attempts] == [AttemptResult.CONNECT_FAILED] * 2
+    assert not endpoint.keep_idle(in_use, 3.0)
+
+
+@pytest.mark.parametrize(
+    ("entry", "is_same"),
+    [
+        (ENTRY, True),
+        (dataclasses.replace(ENTRY, endpoint=dataclasses.replace(ENTRY.endpoint, weight=2.0)), True),
+        (dataclasses.replace(ENTRY, endpoint=dataclasses.replace(ENTRY.endpoint, started_ms=2000.0)), False),
+        (dataclasses.replace(ENTRY, address=("127.0.0.1", 5002)), False),
+    ],
+)
+def test_process_is_identified_by_address_and_start(entry, is_same, endpoint):
+    assert endpoint.is_same_process(entry) is is_same
--- a/tests/network/upstream/test_endpoint_updates.py
+++ b/tests/network/upstream/test_endpoint_updates.py
@@ -24,7 +24,7 @@
         ("w2", EndpointState.READY),
         ("w1", EndpointState.REMOVED),
     ]
-    assert (await endpoint.asked())[0] is None and list(gate.gateway.upstreams._known) == ["w2"]
+    assert (await endpoint.asked())[0] is None and list(gate.gateway.upstreams.registry.endpoints) == ["w2"]
     assert (await client.send(request()).answer())[0] == 502  # the script still names w1
 
 
--- a/tests/network/upstream/test_pool.py
+++ b/tests/network/upstream/test_pool.py
@@ -10,12 +10,12 @@
     AttemptEnded,
     AttemptResult,
 )
-from gateway.network.upstream.connection import REUSE_DELAY_MS
+from gateway.network.upstream.endpoint import REUSE_DELAY_MS
 
 
 async def test_idle_connections_are_reused(monkeypatch, endpoint, client):
     """Seen on the first calm day: keep-alive was asked of the parser too late, and none was kept."""
-    monkeypatch.setattr("gateway.network.upstream.connection.REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr("gateway.network.upstream.endpoint.REUSE_DELAY_MS", 0.0)
     for number in range(5):
         client.send(request(f"{number:016x}"))
         _, writer = await endpoint.asked()
@@ -61,11 +61,11 @@
     """The second copy is there, and the loop has not read it, when the next request goes out."""
     writer = await exchange(endpoint, client)
     workers = gate.gateway.upstreams
-    (connection,) = workers._known["w1"].idle
+    (connection,) = workers.registry.endpoints["w1"].idle
     connection.idle_since_ms -= REUSE_DELAY_MS
     connection.transport.pause_reading()  # as if the loop had not come to it
     writer.write(answer(body=b"twice"))
-    while connection.is_quiet():
+    while not connection.has_unread_input():
         await asyncio.sleep(0)
     client.send(request())
     ended, again = await endpoint.asked(), await endpoint.asked()
@@ -78,10 +78,10 @@
     """What a worker sends right behind its answer may come a moment later."""
     await exchange(endpoint, client)
     workers = gate.gateway.upstreams
-    (connection,) = workers._known["w1"].idle
+    (connection,) = workers.registry.endpoints["w1"].idle
     since = connection.idle_since_ms
-    assert workers._kept(connection.upstream, since + 9.9) is None
-    assert workers._kept(connection.upstream, since + 10.1) is connection
+    assert connection.endpoint.take_idle(since + 9.9) is None
+    assert connection.endpoint.take_idle(since + 10.1) is connection
 
 
 async def test_late_duplicate_response_is_not_the_next_response(endpoint, gate, client):
@@ -123,7 +123,7 @@
 
 
 async def test_connections_to_one_endpoint_are_limited(monkeypatch, endpoint, gate, client):
-    monkeypatch.setattr("gateway.network.upstream.connection.MAX_PER_UPSTREAM", 1)
+    monkeypatch.setattr("gateway.network.upstream.endpoint.MAX_CONNECTIONS_PER_ENDPOINT", 1)
     client.send(request())
     await endpoint.asked()
     other = await gate.client()
--- a/tests/network/upstream/test_responses.py
+++ b/tests/network/upstream/test_responses.py
@@ -11,7 +11,7 @@
     AttemptEnded,
     AttemptResult,
 )
-from gateway.network.upstream.connection import MAX_BODY
+from gateway.network.upstream.response_reader import MAX_BODY_BYTES
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
         (answer(504, extra="X-Not-Run: 1\r\n"), AttemptResult.OVERLOADED),
         (answer(500, extra="X-Not-Run: 1\r\n"), AttemptResult.ERROR),
         (b"what is this\r\n\r\n", AttemptResult.ERROR),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhalf" % (MAX_BODY + 1), AttemptResult.ERROR),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhalf" % (MAX_BODY_BYTES + 1), AttemptResult.ERROR),
         (None, AttemptResult.RESET),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", AttemptResult.RESET),
     ],
