--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -1,8 +1,4 @@
-"""Discovery: a snapshot to begin with, then a watch for changes, for as long as the gateway runs.
-
-Where lists are pushed, the address is taken for an agent's of this gateway's own, which answers at once and
-at no cost; where they are polled, or callers are turned away, for one service of the whole fleet.
-"""
+"""The watch of the endpoint list: a snapshot first, then incremental updates."""
 
 from __future__ import annotations
 
@@ -13,27 +9,39 @@
 from collections.abc import Callable
 
 from gateway.config import Address, EndpointList
-from gateway.network.discovery.backoff import CALL_TIMEOUT_S, FIRST_WAIT_S, MAX_WAIT_S, CallPace
+from gateway.network.discovery.backoff import (
+    CALL_TIMEOUT_S,
+    INITIAL_BACKOFF_S,
+    MAX_BACKOFF_S,
+    DiscoveryBackoff,
+)
 from gateway.network.discovery.client import (
     DiscoveryClient,
     DiscoveryError,
     DiscoveryOverloadedError,
     DiscoveryTimeoutError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
 from gateway.network.discovery.drain_memory import DrainMemory
 
-PATH = "/discovery/hosts"
-SHORT_WATCH_MS = 1  # of a first call, and of the first after a failure: one that waits could hang unnoticed
-WATCH_SPARE_S = 1.0  # a watch that is so much late is broken
-MIN_GAP_S = 0.05  # between answers that bring nothing, should they come at once
-GRACE_PART = 0.25  # where lists are pushed, waits take up to so much of the grace after word of a drain
+PATH = "/discovery/hosts"  # the resource that lists the endpoints
+# Timeout in milliseconds of the first watch and of the first one after a failure. A long one could remain
+# without a response unnoticed.
+SHORT_WATCH_MS = 1
+WATCH_GRACE_S = 1.0  # seconds beyond its timeout after which a watch without a response has failed
+MIN_WATCH_INTERVAL_S = 0.05  # seconds between watches that return at once without a change
+RESTART_DELAY_S = 0.5  # seconds before a watch that failed by an internal error is restarted
+MAX_DRAIN_GRACE_FRACTION = 0.25  # share of the drain grace period that a delay may take for pushed lists
 
 log = logging.getLogger(__name__)
 
 
-class Discovery:
-    """Watches the list of endpoints and passes on all that changes."""
+class EndpointWatch:
+    """Watches discovery's endpoint list and reports its snapshots and incremental updates.
+
+    Pushed lists come from an agent on the gateway's own machine, which responds at once and at no cost.
+    Polled lists come from one service for the fleet; a rejection for overload shows that it is shared.
+    """
 
     def __init__(
         self,
@@ -41,115 +49,138 @@
         on_list: Callable[[EndpointList], None],
         known_index: int | None = None,
         *,
-        fleet: int = 1,
+        fleet_size: int = 1,
         seed: int | None = None,
-        pushed: bool = False,
-        grace_s: float = math.inf,
+        is_pushed: bool = False,
+        drain_grace_s: float = math.inf,
     ) -> None:
-        """Hand lists to `on_list`. With no known version the first call asks for a snapshot."""
-        # An agent that is back has changes that bind: it is not left uncalled for longer than allowed then.
-        longest_s = max(FIRST_WAIT_S, min(MAX_WAIT_S, grace_s * GRACE_PART)) if pushed else MAX_WAIT_S
+        """Report lists to `on_list`; without a known version the first call requests a snapshot.
+
+        `drain_grace_s` is the time in seconds after which a draining endpoint may receive no attempt.
+        """
         self._address = address
         self._on_list = on_list
-        self._index = known_index  # version of the list that is known; None: a snapshot is asked for
-        self._pace = CallPace(fleet, random.Random(seed), alone=pushed, max_wait_s=longest_s)
+        self._index = known_index  # the list's known version; None requests a snapshot
+        self._backoff = DiscoveryBackoff(
+            fleet_size,
+            random.Random(seed),
+            is_only_caller=is_pushed,
+            max_backoff_s=_max_backoff_s(drain_grace_s) if is_pushed else MAX_BACKOFF_S,
+        )
         self._client = DiscoveryClient(address)
-        self._memory = DrainMemory(known_index or 0)
-        self._failure_logged = False  # and no success since
-        self._was_refused = False  # the call before was turned away, or broke
-        self._moved = asyncio.Event()
-        self.listed = asyncio.Event()  # the first answer has come
-
-    def move(self, address: Address) -> None:
-        """From now on ask at another address, beginning with its snapshot."""
+        self._drain_memory = DrainMemory(known_index or 0)
+        self._is_failure_logged = False  # and no call has succeeded since
+        self._was_rejected = False  # the previous call failed otherwise than by a timeout
+        self._address_changed = asyncio.Event()
+        self.list_received = asyncio.Event()  # set once a call has succeeded
+
+    def set_address(self, address: Address) -> None:
+        """Continue at another address, beginning with a snapshot."""
         if address == self._address:
             return
         self._address = address
-        self._client.move(address)
-        self._failure_logged = False
+        self._client.set_address(address)
+        self._is_failure_logged = False
         self._index = None
-        self._moved.set()
+        self._address_changed.set()
 
     async def run(self) -> None:
-        """Watch until cancelled, anew whenever the address moves.
+        """Watch until cancelled, restarting after a change of the address and after an internal error."""
+        while True:
+            self._address_changed.clear()
+            error = await self._watch_until_address_changes()
+            if not self._address_changed.is_set():
+                log.error("discovery: watch failed, restarting in %.1f s", RESTART_DELAY_S, exc_info=error)
+                await asyncio.sleep(RESTART_DELAY_S)
 
-        Whatever is under way at the old one, be it a call, a connection that does not come up or a wait, is
-        dropped.
+    async def _watch_until_address_changes(self) -> BaseException | None:
+        """Watch until the address changes, then cancel the call, the connecting or the delay in progress.
+
+        Returns the error that ended the watch, if any.
         """
-        while True:
-            self._moved.clear()
-            watch = asyncio.create_task(self._watch())
-            moved = asyncio.create_task(self._moved.wait())
-            try:
-                await asyncio.wait((watch, moved), return_when=asyncio.FIRST_COMPLETED)
-            finally:
-                for task in (watch, moved):
-                    task.cancel()
-                error, _ = await asyncio.gather(watch, moved, return_exceptions=True)
-            if not self._moved.is_set():  # an error of ours must not end the watch for good
-                log.error("the watch of discovery failed", exc_info=error)
-                await asyncio.sleep(MAX_WAIT_S)
+        watch = asyncio.create_task(self._watch())
+        address_changed = asyncio.create_task(self._address_changed.wait())
+        try:
+            await asyncio.wait((watch, address_changed), return_when=asyncio.FIRST_COMPLETED)
+        finally:
+            watch.cancel()
+            address_changed.cancel()
+            error, _ = await asyncio.gather(watch, address_changed, return_exceptions=True)
+        return error
 
     async def _watch(self) -> None:
-        """Poll and watch at one address. After a failure it goes on from the version that is known."""
+        """Poll one address until cancelled. After a failure the watch continues from the known version."""
         loop = asyncio.get_running_loop()
         watch_ms = SHORT_WATCH_MS
-        self._was_refused = False
+        self._was_rejected = False
         try:
             while True:
-                started_at_s = loop.time()
+                started_s = loop.time()
                 try:
-                    is_idle = await self._ask(watch_ms)
+                    is_unchanged = await self._poll(watch_ms)
                 except DiscoveryError as error:
+                    delay_s = self._delay_after_failure_s(error, loop.time() - started_s)
                     watch_ms = SHORT_WATCH_MS
-                    await asyncio.sleep(self._wait_after(error, loop.time() - started_at_s))
                 else:
-                    if is_idle and watch_ms > SHORT_WATCH_MS and loop.time() - started_at_s < MIN_GAP_S:
-                        await asyncio.sleep(MIN_GAP_S)
-                    watch_ms = self._pace.watch_ms()
+                    is_watch = is_unchanged and watch_ms > SHORT_WATCH_MS
+                    is_immediate = is_watch and loop.time() - started_s < MIN_WATCH_INTERVAL_S
+                    delay_s = MIN_WATCH_INTERVAL_S if is_immediate else 0.0
+                    watch_ms = self._backoff.watch_timeout_ms()
+                if delay_s:
+                    await asyncio.sleep(delay_s)
         finally:
             self._client.close()
 
-    async def _ask(self, watch_ms: int) -> bool:
-        """Make one call and pass on what it brings; return whether that was nothing, on a watch."""
+    async def _poll(self, watch_ms: int) -> bool:
+        """Make one call and report its list; return whether it was a watch that ended without a change."""
         index = self._index
         if index is None:
             endpoint_list = await self._call(PATH, CALL_TIMEOUT_S)
         else:
-            timeout_s = max(CALL_TIMEOUT_S, watch_ms / 1000 + WATCH_SPARE_S)
+            timeout_s = max(CALL_TIMEOUT_S, watch_ms / 1000 + WATCH_GRACE_S)
             endpoint_list = await self._call(f"{PATH}?since={index}&timeout_ms={watch_ms}", timeout_s)
         if not endpoint_list.is_snapshot and (index is None or endpoint_list.index < index):
-            raise InvalidAnswerError("a change where a snapshot was due, or the version went back")
-        self._pass_on(endpoint_list)
+            raise InvalidResponseError("an incremental update instead of a snapshot, or an older version")
+        self._report(endpoint_list)
         self._index = endpoint_list.index
-        self._pace.on_answer()
-        self._was_refused = False
+        self._backoff.on_success()
+        self._was_rejected = False
         return index is not None and not endpoint_list.entries
 
     async def _call(self, target: str, timeout_s: float) -> EndpointList:
         return await self._client.call(target, timeout_s)
 
-    def _pass_on(self, endpoint_list: EndpointList) -> None:
+    def _report(self, endpoint_list: EndpointList) -> None:
         if endpoint_list.entries or endpoint_list.is_snapshot:
             now_s = asyncio.get_running_loop().time()
-            self._on_list(self._memory.reconcile(endpoint_list, now_s))
-        self.listed.set()
-        self._failure_logged = False
+            self._on_list(self._drain_memory.reconcile(endpoint_list, now_s))
+        self.list_received.set()
+        self._is_failure_logged = False
 
-    def _wait_after(self, error: DiscoveryError, elapsed_s: float) -> float:
-        """Take note of a call that failed after so long, and return how long to wait for the next one."""
+    def _delay_after_failure_s(self, error: DiscoveryError, elapsed_s: float) -> float:
+        """Process a call that failed after `elapsed_s`; return the delay before the next one."""
         self._client.close()
-        if not self._failure_logged:
-            log.warning("discovery: %s", error)
-        self._failure_logged = True
+        if not self._is_failure_logged:
+            log.warning("discovery: call failed, retrying with backoff (logged once per outage): %s", error)
+        self._is_failure_logged = True
         if isinstance(error, DiscoveryOverloadedError):
-            self._pace.on_overload()
-        elif isinstance(error, InvalidAnswerError):
+            self._backoff.on_overload()
+        elif isinstance(error, InvalidResponseError):
             self._index = None
-        # Discovery may have come back at any time in a call that was not answered, or was the first to be
-        # refused. Where it refuses again, it serves nobody sooner for being called more. And a watch lasts
-        # for long, but a break tells its end.
-        is_silent = isinstance(error, DiscoveryTimeoutError)
-        may_be_late = is_silent or (not self._was_refused and elapsed_s <= CALL_TIMEOUT_S)
-        self._was_refused = not is_silent
-        return self._pace.after_failure_s(elapsed_s if may_be_late else 0.0)
+        is_timeout = isinstance(error, DiscoveryTimeoutError)
+        reachable_s = elapsed_s if is_timeout or self._may_have_been_reachable(elapsed_s) else 0.0
+        self._was_rejected = not is_timeout
+        return self._backoff.next_delay_s(reachable_s)
+
+    def _may_have_been_reachable(self, elapsed_s: float) -> bool:
+        """Return whether discovery may have been reachable since the start of a call that was rejected.
+
+        After repeated rejections earlier calls gain nothing. A long call was a watch, whose break shows when
+        discovery became unreachable.
+        """
+        return not self._was_rejected and elapsed_s <= CALL_TIMEOUT_S
+
+
+def _max_backoff_s(drain_grace_s: float) -> float:
+    """Return the longest backoff for pushed lists, which take effect whether they are received or not."""
+    return max(INITIAL_BACKOFF_S, min(MAX_BACKOFF_S, drain_grace_s * MAX_DRAIN_GRACE_FRACTION))
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -12,7 +12,7 @@
 from gateway.config import Config, load
 from gateway.errors import ConfigError
 from gateway.network.admin.endpoint import AdminEndpoint
-from gateway.network.discovery.watch import Discovery
+from gateway.network.discovery.watch import EndpointWatch
 from gateway.network.gateway import Gateway
 from gateway.network.hot_restart import HotRestart
 
@@ -57,14 +57,14 @@
         self._gateway = Gateway(config, loop)
         self._admin = AdminEndpoint(self._gateway)
         self._hot_restart = HotRestart(self._gateway)
-        self._discovery = Discovery(
+        self._endpoint_watch = EndpointWatch(
             config.discovery,
             self._gateway.on_endpoint_list,
             config.known.index if config.known.entries else None,
-            fleet=settings.gateways,
+            fleet_size=settings.gateways,
             seed=config.seed,
-            pushed=not settings.must_subscribe,
-            grace_s=settings.drain_grace_ms / 1000,
+            is_pushed=not settings.must_subscribe,
+            drain_grace_s=settings.drain_grace_ms / 1000,
         )
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -80,11 +80,11 @@
         await self._admin.open(self._config.control)
         await self._hot_restart.find()
         self._tasks = [
-            self._loop.create_task(self._discovery.run()),
+            self._loop.create_task(self._endpoint_watch.run()),
             self._loop.create_task(self._reload_on_request()),
         ]
         try:
-            await asyncio.wait_for(self._discovery.listed.wait(), FIRST_SNAPSHOT_S)
+            await asyncio.wait_for(self._endpoint_watch.list_received.wait(), FIRST_SNAPSHOT_S)
         except TimeoutError:
             log.warning("discovery is silent; starting with the known list")
         gc.collect()
@@ -151,7 +151,7 @@
             log.info("the configuration was read anew: discovery at %s:%d", *config.discovery)
             if self._differs_beyond_discovery(config):
                 log.warning("what else has changed in the configuration takes effect at the next start")
-            self._discovery.move(config.discovery)
+            self._endpoint_watch.set_address(config.discovery)
 
     def _differs_beyond_discovery(self, config: Config) -> bool:
         own = self._config
--- a/tests/network/discovery/conftest.py
+++ b/tests/network/discovery/conftest.py
@@ -5,7 +5,7 @@
 import pytest_asyncio
 from support.fakes import HOST, FakeDiscovery
 
-from gateway.network.discovery.watch import Discovery
+from gateway.network.discovery.watch import EndpointWatch
 
 
 @pytest_asyncio.fixture
@@ -24,7 +24,7 @@
 @pytest_asyncio.fixture
 async def discovery(discovery_service, received_lists):
     """The gateway's side of discovery, running."""
-    discovery = Discovery((HOST, discovery_service.port), received_lists.put_nowait)
+    discovery = EndpointWatch((HOST, discovery_service.port), received_lists.put_nowait)
     task = asyncio.get_running_loop().create_task(discovery.run())
     yield discovery
     task.cancel()
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -11,14 +11,14 @@
 from support.fakes import HOST
 
 from gateway.config import EndpointList
-from gateway.network.discovery.backoff import CallPace
+from gateway.network.discovery.backoff import DiscoveryBackoff
 from gateway.network.discovery.client import (
     DiscoveryError,
     DiscoveryOverloadedError,
     DiscoveryTimeoutError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
-from gateway.network.discovery.watch import Discovery
+from gateway.network.discovery.watch import EndpointWatch
 
 
 def calls_of(monkeypatch, call, **more):
@@ -41,7 +41,7 @@
         return outcome
 
     async def scenario():
-        discovery = Discovery((HOST, 9), print, 41, **more)
+        discovery = EndpointWatch((HOST, 9), print, 41, **more)
         discovery._call = called
         with monkeypatch.context() as patch:
             patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
@@ -63,7 +63,7 @@
     "503": (DiscoveryOverloadedError("status 503"), False),
     "429 after 2 s": (DiscoveryOverloadedError("status 429"), 2.0),
     "reset": (DiscoveryError("the connection failed"), False),
-    "unreadable": (InvalidAnswerError("no JSON"), False),
+    "unreadable": (InvalidResponseError("no JSON"), False),
     "silence": (DiscoveryTimeoutError("no answer in time"), True),
 }
 
@@ -77,7 +77,7 @@
     def call(now_s, _limit_s):
         return (NEWS, 0.5) if not now_s or now_s > 30 else (DiscoveryOverloadedError("status 503"), 0.0)
 
-    gateways = [calls_of(monkeypatch, call, fleet=fleet, seed=seed)[0][1:-1] for seed in range(fleet)]
+    gateways = [calls_of(monkeypatch, call, fleet_size=fleet, seed=seed)[0][1:-1] for seed in range(fleet)]
     assert len({one[1] for one in gateways}) == fleet
     gaps = [b - a for one in gateways for a, b in itertools.pairwise(one)]
     if fleet <= 3:  # as ever: at once, and then at least every 0.75 s
@@ -104,7 +104,7 @@
             turned.append(now_s)
             return FAILURES["503"][0], 2.0
 
-        _, answered = calls_of(monkeypatch, call, fleet=fleet, seed=seed)
+        _, answered = calls_of(monkeypatch, call, fleet_size=fleet, seed=seed)
         assert answered[1] <= turned[0] + 6.0
 
 
@@ -125,7 +125,9 @@
                 return NEWS, 0.01 if pushed else 2.0
             return problem, limit_s if hangs is True else float(hangs)
 
-        begun_s, answered = calls_of(monkeypatch, call, fleet=fleet, seed=seed, pushed=pushed, grace_s=2.0)
+        begun_s, answered = calls_of(
+            monkeypatch, call, fleet_size=fleet, seed=seed, is_pushed=pushed, drain_grace_s=2.0
+        )
         # The first of them is a watch that falls silent: it may go on for as long as it was to wait, and 2 s.
         # Who is refused again and again has discovery within reach from the last refusal on.
         silent_s = begun_s[2] - 1.02 if hangs is True else 0.0
@@ -152,7 +154,9 @@
                 return EndpointList(41, False, ())
             raise next(failures, asyncio.CancelledError())
 
-        discovery = Discovery((HOST, 9), print, 41, fleet=fleet, seed=seed, pushed=True, grace_s=grace_s)
+        discovery = EndpointWatch(
+            (HOST, 9), print, 41, fleet_size=fleet, seed=seed, is_pushed=True, drain_grace_s=grace_s
+        )
         discovery._call = call
         with monkeypatch.context() as patch:
             patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
@@ -166,20 +170,20 @@
 
 
 def test_refusal_shows_that_discovery_is_shared():
-    pace = CallPace(40, random.Random(1), alone=True)
-    alone = max(pace.after_failure_s() for _ in range(20)), pace.watch_ms()
+    pace = DiscoveryBackoff(40, random.Random(1), is_only_caller=True)
+    alone = max(pace.next_delay_s() for _ in range(20)), pace.watch_timeout_ms()
     pace.on_overload()
     assert alone == (pytest.approx(0.5, abs=0.25), 5000)
-    assert max(pace.after_failure_s() for _ in range(20)) > 3 and pace.watch_ms() == 40_000
+    assert max(pace.next_delay_s() for _ in range(20)) > 3 and pace.watch_timeout_ms() == 40_000
 
 
 def test_first_retry_after_a_start_comes_sooner():
     """Its list may be an old one, and the others have theirs."""
     started, settled = (
-        [CallPace(14, random.Random(seed)) for seed in range(40)],
-        [CallPace(14, random.Random(seed)) for seed in range(40)],
+        [DiscoveryBackoff(14, random.Random(seed)) for seed in range(40)],
+        [DiscoveryBackoff(14, random.Random(seed)) for seed in range(40)],
     )
     for pace in settled:
-        pace.on_answer()
-    first, later = [one.after_failure_s() for one in started], [one.after_failure_s() for one in settled]
+        pace.on_success()
+    first, later = [one.next_delay_s() for one in started], [one.next_delay_s() for one in settled]
     assert sum(first) < 0.7 * sum(later) and max(first) < 2.3 and max(later) <= 3.5
--- a/tests/network/discovery/test_drain_memory.py
+++ b/tests/network/discovery/test_drain_memory.py
@@ -16,7 +16,7 @@
     )
     await received_lists.get()
     async with FakeDiscovery() as new:
-        discovery.move((HOST, new.port))
+        discovery.set_address((HOST, new.port))
         _, writer = await new.called()
         old = [entry("w0", 5001), entry("w1", 5002, since_ms=7), entry("w2", 5003), entry("w4", 5005)]
         writer.write(told(listing(*old, index=40)))
--- a/tests/network/discovery/test_watch.py
+++ b/tests/network/discovery/test_watch.py
@@ -8,14 +8,14 @@
 from support.discovery_scenarios import WATCH
 from support.fakes import HOST, FakeDiscovery, answer, entry, listing, told
 
-from gateway.network.discovery.watch import Discovery
+from gateway.network.discovery.watch import EndpointWatch
 
 
 async def test_snapshot_is_followed_by_a_watch_from_its_version(discovery_service, received_lists, discovery):
     target, writer = await discovery_service.called()
-    assert target == "/discovery/hosts" and not discovery.listed.is_set()
+    assert target == "/discovery/hosts" and not discovery.list_received.is_set()
     writer.write(told(listing(entry("w1", 5001), index=41)))
-    assert (await received_lists.get()).is_snapshot and discovery.listed.is_set()
+    assert (await received_lists.get()).is_snapshot and discovery.list_received.is_set()
     target, writer = await discovery_service.called()
     assert target == WATCH.format(41)
     writer.write(told(listing(entry("w1", 5001, "gone"), index=43, snapshot=False)))
@@ -77,12 +77,12 @@
 
 async def test_configured_list_is_followed_by_its_changes():
     async with FakeDiscovery() as fake:
-        discovery = Discovery((HOST, fake.port), print, 41)
+        discovery = EndpointWatch((HOST, fake.port), print, 41)
         task = asyncio.get_running_loop().create_task(discovery.run())
         target, writer = await fake.called()
         assert target == "/discovery/hosts?since=41&timeout_ms=1"
         writer.write(told(listing(index=41, snapshot=False)))
-        await discovery.listed.wait()
+        await discovery.list_received.wait()
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -91,7 +91,7 @@
 async def test_first_call_after_a_failure_is_short(reply):
     """One that may wait for news could hang for 41 s before that is noticed."""
     async with FakeDiscovery() as fake:
-        discovery = Discovery((HOST, fake.port), print, 41)
+        discovery = EndpointWatch((HOST, fake.port), print, 41)
         task = asyncio.get_running_loop().create_task(discovery.run())
         _, writer = await fake.called()
         writer.write(told(listing(index=41, snapshot=False)))
@@ -121,9 +121,9 @@
     await received_lists.get()
     assert (await discovery_service.called())[0] == WATCH.format(41)
     async with FakeDiscovery() as silent, FakeDiscovery() as new:
-        discovery.move((HOST, silent.port))
+        discovery.set_address((HOST, silent.port))
         await silent.called()
-        discovery.move((HOST, new.port))
+        discovery.set_address((HOST, new.port))
         target, writer = await new.called()
         assert target == "/discovery/hosts"
         writer.write(told(listing(entry("w9", 5009), index=3)))
@@ -133,7 +133,7 @@
 
 
 async def test_internal_error_restarts_the_watch(monkeypatch, discovery_service, received_lists, discovery):
-    monkeypatch.setattr("gateway.network.discovery.watch.MAX_WAIT_S", 0.0)
+    monkeypatch.setattr("gateway.network.discovery.watch.RESTART_DELAY_S", 0.0)
     discovery._on_list = lambda _news: 1 / 0
     _, writer = await discovery_service.called()
     writer.write(told(listing(index=41)))
@@ -167,7 +167,7 @@
     port = probe.getsockname()[1]
     probe.close()
     lists = asyncio.Queue()
-    discovery = Discovery((HOST, port), lists.put_nowait)
+    discovery = EndpointWatch((HOST, port), lists.put_nowait)
     failed = asyncio.Event()
     call = discovery._call
 
