--- a/gateway/policy/dispatch.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -1,21 +1,21 @@
 """The dispatch queue: below the concurrency limit all leave it, at the limit by shares, then by weight."""
 
-from gateway.model.records import RequestPhase, RequestRecord
-from gateway.model.shared import Part, Shared
-from gateway.policy.attempts import AttemptManager
-from gateway.policy.fuzzy_share import FuzzyShare
-from gateway.policy.latency import longest_wait_ms
+from gateway.policy.context import PolicyComponent, PolicyContext
+from gateway.policy.dispatch.fuzzy_share import FuzzyShare
+from gateway.policy.dispatch.latency import longest_wait_ms
+from gateway.policy.requests.attempts import AttemptManager
+from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 
-FEW_SAMPLES = 5  # with fewer dispatched in a period, the ages of those still queued count as waits too
-OVERAGE_LIMIT = 0.5  # of the concurrency limit: fuller, and nothing beyond a quota is dispatched
+MIN_WAIT_SAMPLES = 5  # dispatched requests per period below which the ages of queued ones count as waits
+MAX_OVERAGE_UTILIZATION = 0.5  # fraction of the concurrency limit in use that still permits overage
 
 
-class Dispatcher(Part):
+class Dispatcher(PolicyComponent):
     """The requests that are admitted and wait for room, and the shares by which they are dispatched."""
 
-    def __init__(self, shared: Shared, attempts: AttemptManager) -> None:
-        super().__init__(shared)
-        classes = shared.settings.classes
+    def __init__(self, context: PolicyContext, attempts: AttemptManager) -> None:
+        super().__init__(context)
+        classes = context.settings.classes
         self._limiter = attempts.limiter
         self._attempts = attempts
         self.queue: list[RequestRecord] = []
@@ -32,7 +32,7 @@
         """Move each class's share by the waits of this period."""
         for name, share in self.shares.items():
             waits_ms = self._waits_ms[name]
-            if len(waits_ms) < FEW_SAMPLES and self.queue:
+            if len(waits_ms) < MIN_WAIT_SAMPLES and self.queue:
                 waits_ms = waits_ms + [
                     self._turn.now_ms - request.arrived_at_ms
                     for request in self.queue
@@ -49,7 +49,7 @@
         self.queue.sort(key=lambda one: (not one.within_quota, -one.priority, -one.arrived_at_ms))
         if len(self.queue) > self._limiter.available():
             self._sort_by_shares()
-        is_busy = self._limiter.in_flight.mean >= OVERAGE_LIMIT * self._limiter.limit
+        is_busy = self._limiter.in_flight.mean >= MAX_OVERAGE_UTILIZATION * self._limiter.limit
         self.queue = [request for request in self.queue if not self._try_to_dispatch(request, is_busy)]
 
     def _sort_by_shares(self) -> None:
--- a/gateway/model/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from gateway.gossip.codec import endpoint_tag
-from gateway.model.events import EndpointState, EndpointUpdate
-from gateway.model.records import EndpointRecord
+from gateway.interface.events import EndpointState, EndpointUpdate
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
 
 class EndpointTable:
--- a/gateway/policy/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -4,15 +4,16 @@
 over all gateways it gets the part that its capacity is of the fleet's of late.
 """
 
-from gateway.model.decay import decay
-from gateway.model.events import Endpoint
-from gateway.model.records import EndpointRecord, RequestRecord
-from gateway.model.settings import Settings
-from gateway.model.shared import Part, Shared
-from gateway.policy.fuzzy_share import PERIOD_MS
+from gateway.interface.events import Endpoint
+from gateway.interface.settings import Settings
+from gateway.policy.context import PolicyComponent, PolicyContext
+from gateway.policy.decay import decay
+from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
+from gateway.policy.endpoints.endpoint_record import EndpointRecord
+from gateway.policy.requests.request_record import RequestRecord
 
-RETRY_MS = 1000.0  # until a request that was not drawn tries again
-TRIES_MEMORY_MS = 1000.0  # over which requests and tries are counted
+REDRAW_MS = 1000.0  # interval after which a request that was not drawn may be drawn again
+DRAW_MEMORY_MS = 1000.0  # time constant of the counts of requests and draws
 
 
 def capacity_part(settings: Settings, now_ms: float, endpoint: Endpoint) -> float:
@@ -24,17 +25,17 @@
     return floor + (1 - floor) * max(0.0, age_ms) / settings.slow_start_ms
 
 
-class SlowStartLottery(Part):
+class SlowStartLottery(PolicyComponent):
     """Draws which attempts go to endpoints in slow start."""
 
-    def __init__(self, shared: Shared) -> None:
-        super().__init__(shared)
+    def __init__(self, context: PolicyContext) -> None:
+        super().__init__(context)
         self._requests = 0.0  # decaying count of the requests that tried,
         self._tries = 0.0  # and of all their tries
 
     def step(self) -> None:
         """Let one period's counts fade."""
-        kept = decay(PERIOD_MS, TRIES_MEMORY_MS)
+        kept = decay(PERIOD_MS, DRAW_MEMORY_MS)
         self._requests = self._requests * kept
         self._tries = self._tries * kept
 
@@ -51,7 +52,7 @@
         self._requests += not request.slow_start_tries
         self._tries += 1
         request.slow_start_tries += 1
-        request.slow_start_retry_at_ms = self._turn.now_ms + RETRY_MS
+        request.slow_start_retry_at_ms = self._turn.now_ms + REDRAW_MS
         ticket = self._rng.random() * fleet_capacity * max(1.0, self._tries / max(1.0, self._requests))
         for endpoint in starting:
             ticket -= capacity_part(self._settings, self._turn.now_ms, endpoint.entry)
--- a/gateway/model/lease_table.py
+++ b/gateway/policy/quota/lease_table.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from gateway.gossip.codec import EntryKind, QuotaEntry
-from gateway.model.records import RequestRecord
-from gateway.model.settings import Settings
+from gateway.interface.settings import Settings
+from gateway.policy.requests.request_record import RequestRecord
 
-MAX_LEASE_ID = 0xFFFF
+MAX_LEASE_ID = 0xFFFF  # lease ids have 16 bits in a datagram; 0 means that there is none
 
 
 class LeaseTable:
--- /dev/null
+++ b/tests/support/discovery_scenarios.py
@@ -0,0 +1,3 @@
+"""Support for scenarios of discovery tests."""
+
+WATCH = "/discovery/hosts?since={}&timeout_ms=5000"
