--- a/tests/compatibility/test_admin.py
+++ b/tests/compatibility/test_admin.py
@@ -1,15 +1,12 @@
-"""Tests of compatibility: admin."""
+"""Tests of the responses of the admin endpoint, against recordings."""
 
 import asyncio
 
-from support.fakes import (
-    FakeWorker,
-    Gate,
-    answer,
-    entry,
-    request,
-)
-from support.recordings import check_json, reply_to
+from support.configurations import endpoint_entry
+from support.fake_endpoint import FakeEndpoint
+from support.http_messages import http_request, http_response
+from support.recordings import check_json_recording, raw_response
+from support.running_gateway import RunningGateway
 
 CALLS = (
     b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -22,16 +19,16 @@
 
 
 async def test_admin_calls():
-    async with FakeWorker() as worker:
-        known = [entry("w1", worker.port), entry("w2", 9, "draining")]
-        async with Gate(None, known=known) as gate:
+    async with FakeEndpoint() as endpoint:
+        known = [endpoint_entry("w1", endpoint.port), endpoint_entry("w2", 9, "draining")]
+        async with RunningGateway(None, known=known) as running_gateway:
             await asyncio.sleep(0.05)
-            client = await gate.client()
-            client.send(request())
-            _, writer = await worker.asked()
-            writer.write(answer())
-            await client.answer()
-            replies = [await reply_to(gate.door_port, data) for data in CALLS]
-            gate.gateway.ready = False
-            replies.append(await reply_to(gate.door_port, CALLS[0]))
-            check_json("operators.json", replies)
+            client = await running_gateway.connect()
+            client.send(http_request())
+            _, writer = await endpoint.next_request()
+            writer.write(http_response())
+            await client.next_response()
+            replies = [await raw_response(running_gateway.admin_port, data) for data in CALLS]
+            running_gateway.gateway.ready = False
+            replies.append(await raw_response(running_gateway.admin_port, CALLS[0]))
+            check_json_recording("operators.json", replies)
--- a/tests/compatibility/test_hot_restart.py
+++ b/tests/compatibility/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Tests of compatibility: hot restart."""
+"""Tests of the packets between a process and its successor, which all versions share."""
 
 import asyncio
 import contextlib
@@ -6,123 +6,130 @@
 import socket
 import struct
 
-from support.fakes import (
-    HOST,
-    Client,
-    FakeDiscovery,
-    FakeWorker,
-    answer,
-    config,
-    entry,
-    request,
-    run,
-)
-from support.process_scenarios import free_port, start, tell_list
+import pytest
+import pytest_asyncio
+from support.addresses import HOST
+from support.client import TestClient
+from support.configurations import endpoint_entry
+from support.http_messages import http_request, http_response
+from support.processes import kill, send_endpoint_list, start_process
 from support.recordings import FIXTURES
 
+MAX_PACKET_BYTES = 64 * 1024
+MAX_PACKET_DESCRIPTORS = 4
+STATE_CHUNK_BYTES = 1000  # of a recorded state in one packet
+POLL_INTERVAL_S = 0.01
+SETTLE_S = 0.05  # for the process to handle a packet that has no response
 
-async def receive(loop, link):
-    """One packet and its descriptors."""
+
+async def receive_packet(link):
+    """Return the next packet and its descriptors."""
+    loop = asyncio.get_running_loop()
     while True:
         with contextlib.suppress(BlockingIOError):
-            return socket.recv_fds(link, 64 * 1024, 4)[:2]
+            return socket.recv_fds(link, MAX_PACKET_BYTES, MAX_PACKET_DESCRIPTORS)[:2]
         readable = loop.create_future()
         loop.add_reader(link, readable.set_result, None)
         await readable
         loop.remove_reader(link)
 
 
-def at_process(tmp_path, scenario, **more):
-    """Run a scenario with a started process that another one may follow."""
-
-    async def whole():
-        async with FakeDiscovery() as fake, FakeWorker() as worker:
-            port = free_port()
-            path = tmp_path / "config.json"
-            path.write_text(json.dumps(config(fake.port, port, **more)))
-            process = None
-            try:
-                process = await scenario(path, port, fake, worker)
-            finally:
-                if process is not None and process.returncode is None:
-                    process.kill()
-                    await process.wait()
-
-    run(whole())
-
-
-def test_packets_to_a_successor(tmp_path):
-    """T asks; S, G and C answer; H passes on a peer's message. The file's name is known to both versions."""
-
-    async def scenario(path, port, fake, worker):
-        loop = asyncio.get_running_loop()
-        process = await start(path, str(tmp_path))
-        await tell_list(fake, entry("w1", worker.port))
-        name = tmp_path / f"gatekeeper-{HOST}-{port}"
-        while not name.exists():
-            await asyncio.sleep(0.01)
-        idle = await Client().open(port)
-        idle.send(request("00000000000000f1"))
-        _, writer = await worker.asked()
-        writer.write(answer())
-        assert (await idle.answer())[0] == 200
-        with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as link:
-            link.connect(str(name))
-            link.setblocking(False)
-            link.send(b"T")
-            text = b""
-            while (packet := await receive(loop, link))[0][:1] == b"S":
-                text += packet[0][1:]
-            assert packet[0] == b"G" and len(packet[1]) == 1  # it has no peers: no second socket
-            with socket.socket(fileno=packet[1][0]) as listener:
-                assert listener.getsockname() == (HOST, port)
-            state = json.loads(text)
-            assert list(state) == ["names", "module", "held"] and state["names"] == ["00000000000000f1"]
-            assert list(state["module"]) == list(json.loads((FIXTURES / "state.json").read_text()))
-            moved, descriptors = await receive(loop, link)
-            assert moved == b"C" and len(descriptors) == 1
-            with socket.socket(fileno=descriptors[0]) as client:
-                assert client.getpeername() == idle.writer.get_extra_info("sockname")
-            link.send(b"H" + struct.pack("<H", 1) + b"\x00")
-            await asyncio.sleep(0.05)
-        assert process.returncode is None
-        return process
+async def receive_state(link):
+    """Return the state in the packets S, and the first packet behind them with its descriptors."""
+    state = b""
+    while True:
+        packet, descriptors = await receive_packet(link)
+        if packet[:1] != b"S":
+            return json.loads(state), packet, descriptors
+        state += packet[1:]
+
+
+@pytest_asyncio.fixture
+async def launch(config_path, tmp_path):
+    """A function that starts a process, which is killed after the test."""
+    processes = []
 
-    at_process(tmp_path, scenario)
-
-
-def test_predecessor_of_the_last_version_hands_over(tmp_path):
-    """Its packets as recorded, with an idle connection of a client."""
-
-    async def scenario(path, port, fake, worker):
-        loop = asyncio.get_running_loop()
-        with contextlib.ExitStack() as stack:
-            door = stack.enter_context(socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET))
-            door.bind(str(tmp_path / f"gatekeeper-{HOST}-{port}"))
-            door.listen(1)
-            door.setblocking(False)
-            listener = stack.enter_context(socket.create_server((HOST, port), reuse_port=True))
-            client = await Client().open(port)
-            accepted, _ = listener.accept()
-            process = await start(path, str(tmp_path))
-            await tell_list(fake, entry("w1", worker.port))
-            link, _ = await loop.sock_accept(door)
-            stack.enter_context(link)
-            link.setblocking(False)
-            assert (await receive(loop, link))[0] == b"T"
-            module = json.loads((FIXTURES / "state.json").read_text())
-            text = json.dumps({"names": ["00000000000000f2"], "module": module, "held": 20}).encode()
-            for begin in range(0, len(text), 1000):
-                link.send(b"S" + text[begin : begin + 1000])
-            socket.send_fds(link, [b"G"], [listener.fileno()])
-            socket.send_fds(link, [b"C"], [accepted.fileno()])
-            accepted.close()
-            client.send(request("00000000000000f2"))  # its id is in use at the process before
-            assert (await client.answer())[0] == 409
-            client.send(request("00000000000000f3"))
-            _, writer = await worker.asked()
-            writer.write(answer(body=b"moved"))
-            assert (await client.answer())[2] == b"moved"
+    async def launch():
+        process = await start_process(config_path, str(tmp_path))
+        processes.append(process)
         return process
 
-    at_process(tmp_path, scenario)
+    yield launch
+    for process in processes:
+        await kill(process)
+
+
+@pytest.fixture
+def socket_file(tmp_path, port):
+    """The path that both versions use for the socket between processes."""
+    return tmp_path / f"gatekeeper-{HOST}-{port}"
+
+
+@pytest.fixture
+def link():
+    """A socket of the type that links two processes."""
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as link:
+        yield link
+
+
+async def test_packets_to_a_successor(launch, socket_file, link, port, endpoint, discovery_service):
+    """T is answered by S, G and C; H passes on a peer's datagram."""
+    process = await launch()
+    await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
+    while not socket_file.exists():
+        await asyncio.sleep(POLL_INTERVAL_S)
+    idle = await TestClient().connect(port)
+    idle.send(http_request("00000000000000f1"))
+    _, writer = await endpoint.next_request()
+    writer.write(http_response())
+    assert (await idle.next_response()).status == 200
+
+    link.connect(str(socket_file))
+    link.setblocking(False)
+    link.send(b"T")
+    state, packet, descriptors = await receive_state(link)
+    assert list(state) == ["names", "module", "held"] and state["names"] == ["00000000000000f1"]
+    assert list(state["module"]) == list(json.loads((FIXTURES / "state.json").read_text()))
+    assert packet == b"G" and len(descriptors) == 1  # without peers there is no second socket
+    with socket.socket(fileno=descriptors[0]) as listener:
+        assert listener.getsockname() == (HOST, port)
+    packet, descriptors = await receive_packet(link)
+    assert packet == b"C" and len(descriptors) == 1
+    with socket.socket(fileno=descriptors[0]) as client:
+        assert client.getpeername() == idle.writer.get_extra_info("sockname")
+    link.send(b"H" + struct.pack("<H", 1) + b"\x00")
+    await asyncio.sleep(SETTLE_S)
+    assert process.returncode is None
+
+
+async def test_predecessor_of_the_last_version_hands_over(
+    launch, socket_file, link, port, endpoint, discovery_service
+):
+    """The predecessor sends the packets as recorded, and an idle connection of a client."""
+    loop = asyncio.get_running_loop()
+    link.bind(str(socket_file))
+    link.listen(1)
+    link.setblocking(False)
+    with contextlib.ExitStack() as stack:
+        listener = stack.enter_context(socket.create_server((HOST, port), reuse_port=True))
+        client = await TestClient().connect(port)
+        accepted, _ = listener.accept()
+        await launch()
+        await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
+        successor, _ = await loop.sock_accept(link)
+        stack.enter_context(successor)
+        successor.setblocking(False)
+        assert (await receive_packet(successor))[0] == b"T"
+        module = json.loads((FIXTURES / "state.json").read_text())
+        state = json.dumps({"names": ["00000000000000f2"], "module": module, "held": 20}).encode()
+        for begin in range(0, len(state), STATE_CHUNK_BYTES):
+            successor.send(b"S" + state[begin : begin + STATE_CHUNK_BYTES])
+        socket.send_fds(successor, [b"G"], [listener.fileno()])
+        socket.send_fds(successor, [b"C"], [accepted.fileno()])
+        accepted.close()
+        client.send(http_request("00000000000000f2"))  # its id is in use at the predecessor
+        assert (await client.next_response()).status == 409
+        client.send(http_request("00000000000000f3"))
+        _, writer = await endpoint.next_request()
+        writer.write(http_response(body=b"moved"))
+        assert (await client.next_response()).body == b"moved"
--- a/tests/compatibility/test_upstream.py
+++ b/tests/compatibility/test_upstream.py
@@ -1,25 +1,23 @@
-"""Tests of compatibility: upstream."""
+"""Tests of the request heads that endpoints get, against recordings."""
 
 import asyncio
 import contextlib
 
-from support.fakes import (
-    HOST,
-    Gate,
-    Script,
-    entry,
-    request,
-)
-from support.recordings import BOOK, changed, check_json
+from support.addresses import HOST
+from support.configurations import endpoint_entry
+from support.http_messages import http_request
+from support.recordings import BOOK_REQUEST, check_json_recording, modified_request
+from support.running_gateway import RunningGateway
+from support.scripted_controller import ScriptedController
 
-BODY_LIMIT = 256 * 1024  # a larger body is passed on while it comes
+BODY_LIMIT = 256 * 1024  # a larger body is forwarded while it is received
 
 
-async def heads_at_worker(sent):
-    """The bytes that a worker gets for each of these requests, up to the end of the head.
+async def forwarded_heads(requests):
+    """Return the bytes that an endpoint gets for each request, up to the end of the head.
 
-    Each is sent in two parts, the second when the head of the first is there: whether a large body is whole
-    when it is sent on would else be a matter of chance, and X-Deadline-Ms with it.
+    Each request is sent in two parts, the second once the endpoint has the head. Otherwise it would depend on
+    timing whether a large body is complete when it is forwarded, and X-Deadline-Ms with it.
     """
     heads = asyncio.Queue()
 
@@ -30,10 +28,10 @@
 
     server = await asyncio.start_server(serve, HOST, 0)
     received = []
-    known = [entry("w1", server.sockets[0].getsockname()[1])]
-    async with Gate(Script(), known=known) as gate:
-        for first, rest in sent:
-            client = await gate.client()
+    known = [endpoint_entry("w1", server.sockets[0].getsockname()[1])]
+    async with RunningGateway(ScriptedController(), known=known) as running_gateway:
+        for first, rest in requests:
+            client = await running_gateway.connect()
             client.send(first)
             received.append(await heads.get())
             client.send(rest)
@@ -43,16 +41,16 @@
 
 
 async def test_request_head_at_an_endpoint():
-    chunked = changed(b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\n", **BOOK)
+    chunked = modified_request(b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\n", **BOOK_REQUEST)
     small = [
-        request("00000000000000c1", "/look/3?q=%20", extra="Accept: x\r\nContent-Type: text/plain\r\n"),
-        request("00000000000000c2", "/book/7", key="k~1", body=b"\x00body"),
-        request("00000000000000c3", "/debit", body=b"1", extra="content-type:  a/b \r\n"),
+        http_request("00000000000000c1", "/look/3?q=%20", extra="Accept: x\r\nContent-Type: text/plain\r\n"),
+        http_request("00000000000000c2", "/book/7", key="k~1", body=b"\x00body"),
+        http_request("00000000000000c3", "/debit", body=b"1", extra="content-type:  a/b \r\n"),
         chunked.removesuffix(b"body") + b"4\r\nbody\r\n0\r\n\r\n",
     ]
     large = [
-        request("00000000000000c4", "/book", key="k", body=bytes(BODY_LIMIT + 1)),
+        http_request("00000000000000c4", "/book", key="k", body=bytes(BODY_LIMIT + 1)),
         chunked.removesuffix(b"body").replace(b"e1", b"e2") + b"50000\r\n%s\r\n0\r\n\r\n" % bytes(0x50000),
     ]
     sent = [(data, b"") for data in small] + [(data[:-1], data[-1:]) for data in large]
-    check_json("worker-heads.json", await heads_at_worker(sent))
+    check_json_recording("worker-heads.json", await forwarded_heads(sent))
--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -1,11 +1,15 @@
-"""Tests of admin: endpoint."""
+"""Tests of the admin endpoint."""
 
 import pytest
-from support.admin_scenarios import call, figures
-from support.fakes import HOST, Client, Gate, Script, config
+from support.addresses import HOST
+from support.admin_calls import admin_call, read_metrics
+from support.client import TestClient
+from support.configurations import configuration
+from support.running_gateway import RunningGateway
+from support.scripted_controller import ScriptedController
 
 from gateway.config import config_from
-from gateway.network.admin import endpoint as door
+from gateway.network.admin import endpoint as admin_endpoint
 from gateway.network.gateway import RESERVED_DESCRIPTORS
 
 
@@ -22,47 +26,49 @@
     ],
 )
 async def test_admin_calls_get_their_status(data, status):
-    async with Gate(Script()) as gate:
-        assert (await call(gate, data))[0] == status
+    async with RunningGateway(ScriptedController()) as running_gateway:
+        assert (await admin_call(running_gateway, data))[0] == status
 
 
 async def test_readiness_is_503_before_the_process_serves():
-    async with Gate(Script()) as gate:
-        gate.gateway.ready = False
-        assert (await call(gate, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
+    async with RunningGateway(ScriptedController()) as running_gateway:
+        running_gateway.gateway.ready = False
+        assert (await admin_call(running_gateway, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
 
 
-async def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch):
-    monkeypatch.setattr(door, "CALL_MS", 200.0)
+async def read_to_end(client):
+    try:
+        return await client.reader.read()
+    except ConnectionError:
+        return b""
+
 
-    async def end_of(holder):
-        try:
-            return await holder.reader.read()
-        except ConnectionError:
-            return b""
+async def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch):
+    monkeypatch.setattr(admin_endpoint, "CALL_MS", 200.0)
 
-    async with Gate(Script()) as gate:
-        holders = [await Client().open(gate.door_port) for _ in range(3 * door.MOST)]
-        for holder in holders:
-            holder.send(b"GET /_ready HT")
-        assert await figures(gate)
-        assert len(gate.door.callers) <= door.MOST
-        told = [await end_of(holder) for holder in holders]
-        assert all(text == b"" or b" 408 " in text for text in told) and any(told)
+    async with RunningGateway(ScriptedController()) as running_gateway:
+        callers = [
+            await TestClient().connect(running_gateway.admin_port) for _ in range(3 * admin_endpoint.MOST)
+        ]
+        for caller in callers:
+            caller.send(b"GET /_ready HT")
+        assert await read_metrics(running_gateway)
+        assert len(running_gateway.admin.callers) <= admin_endpoint.MOST
+        responses = [await read_to_end(caller) for caller in callers]
+        assert all(text == b"" or b" 408 " in text for text in responses) and any(responses)
 
 
 def test_admin_address_comes_from_configuration_or_environment():
-    assert config_from(config(), {}).control is None
-    assert config_from(config(control=f"{HOST}:9100"), {}).control == (HOST, 9100)
-    assert config_from(config(), {"BALANCER_CONTROL": f"{HOST}:9101"}).control == (HOST, 9101)
+    assert config_from(configuration(), {}).control is None
+    assert config_from(configuration(control=f"{HOST}:9100"), {}).control == (HOST, 9100)
+    assert config_from(configuration(), {"BALANCER_CONTROL": f"{HOST}:9101"}).control == (HOST, 9101)
     with pytest.raises(ValueError, match=r"config\.control"):
-        config_from(config(control="door"), {})
+        config_from(configuration(control="door"), {})
 
 
 @pytest.mark.parametrize("sockets", [96, 192, 256, 1024])
 async def test_descriptors_for_the_admin_endpoint_are_reserved(sockets):
-    """Under a limit of 192 they could have held 168, with 26 to 28 in use beside them."""
-    gateway = Gate(Script(), limits={"sockets": sockets}).gateway
+    gateway = RunningGateway(ScriptedController(), limits={"sockets": sockets}).gateway
     rest = sockets - gateway.connections.max_admitted - gateway.upstreams._max
-    assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + door.MOST + 3
-    assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)  # as before
+    assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + admin_endpoint.MOST + 3
+    assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -1,109 +1,102 @@
-"""Tests of clients: connection limiter."""
+"""Tests of which clients' connections are closed when there are too many."""
 
 import asyncio
 import os
 import select
 
 import pytest
-from support.fakes import answer, request
-from support.gateway_scenarios import exchange, later, taken
+from support.gateway_steps import complete_request, sweep_after, until_connected
+from support.http_messages import http_request, http_response
 
 
-async def test_over_the_limit_closing_then_silent_then_idle_connections_go_first(endpoint, gate, client):
-    admission = gate.gateway.connections
-    client.send(request())
-    await endpoint.asked()
-    idle = await gate.client()
-    other = idle.send(request())
-    _, writer = await endpoint.asked()
-    writer.write(answer())
-    await other.answer()
-    silent = [await gate.client() for _ in range(2)]
-    refused = (await gate.client()).send(b"noise\r\n\r\n")
-    assert (await refused.answer())[0] == 400
-    for most, gone in ((4, refused), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
-        admission.max_kept = most
-        admission.make_room()
-        if gone is not None:
-            assert await gone.ends() and len(admission) == most
-    assert len(admission) == 1 and len(gate.gateway.open) == 1
+async def test_over_the_limit_closing_then_silent_then_idle_connections_go_first(
+    endpoint, gateway, running_gateway, client
+):
+    limiter = gateway.connections
+    client.send(http_request())
+    await endpoint.next_request()
+    idle = await running_gateway.connect()
+    await complete_request(endpoint, idle)
+    silent = [await running_gateway.connect() for _ in range(2)]
+    rejected = (await running_gateway.connect()).send(b"noise\r\n\r\n")
+    assert (await rejected.next_response()).status == 400
+    for max_kept, closed in ((4, rejected), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
+        limiter.max_kept = max_kept
+        limiter.make_room()
+        if closed is not None:
+            assert await closed.is_closed_by_peer() and len(limiter) == max_kept
+    assert len(limiter) == 1 and len(gateway.open) == 1
 
 
-def sent_unread(client, conn):
-    """Send a request so that it is here and the loop has not read it: nothing else has run since."""
-    os.write(client.writer.get_extra_info("socket").fileno(), request())
-    while not select.select([conn.transport.get_extra_info("socket")], [], [], 5)[0]:
+def send_without_reading(client, connection):
+    """Send a request, and block the event loop until it waits to be read."""
+    os.write(client.writer.get_extra_info("socket").fileno(), http_request())
+    while not select.select([connection.transport.get_extra_info("socket")], [], [], 5)[0]:
         pass
 
 
-@pytest.mark.parametrize("close", ["at the end", "in a crowd"])
-@pytest.mark.parametrize("asked_before", [True, False])
-async def test_connection_with_an_unread_request_is_not_closed(close, asked_before, endpoint, gate, client):
-    if asked_before:
-        await exchange(endpoint, client)
+@pytest.mark.parametrize("close", ["at shutdown", "under overload"])
+@pytest.mark.parametrize("has_served", [True, False])
+async def test_connection_with_an_unread_request_is_not_closed(close, has_served, endpoint, gateway, client):
+    if has_served:
+        await complete_request(endpoint, client)
     else:
-        await taken(gate, 1)
-    (conn,) = gate.gateway.connections.all
-    sent_unread(client, conn)
-    if close == "at the end":
-        gate.gateway.drain()
-        gate.gateway.close_idle()
+        await until_connected(gateway, 1)
+    (connection,) = gateway.connections.all
+    send_without_reading(client, connection)
+    if close == "at shutdown":
+        gateway.drain()
+        gateway.close_idle()
     else:
-        gate.gateway.connections.max_kept = 0
-        gate.gateway.connections.make_room()
-    _, writer = await endpoint.asked()
-    writer.write(answer())
-    assert (await client.answer())[0] == 200
+        gateway.connections.max_kept = 0
+        gateway.connections.make_room()
+    _, writer = await endpoint.next_request()
+    writer.write(http_response())
+    assert (await client.next_response()).status == 200
 
 
-async def test_hundreds_of_simultaneous_connections_do_not_exclude_others(endpoint, gate, client):
-    admission = gate.gateway.connections
-    await taken(gate, 1)
-    crowd = [await gate.client() for _ in range(admission.max_admitted + 20)]
-    late = (await gate.client()).send(request())
-    while True:  # at the very limit a new one is dropped, and comes again
-        asked = asyncio.ensure_future(endpoint.asked())
-        gone = asyncio.ensure_future(late.ends())
-        await asyncio.wait((asked, gone), return_when=asyncio.FIRST_COMPLETED)
-        if asked.done():
+async def test_hundreds_of_simultaneous_connections_do_not_exclude_others(
+    endpoint, gateway, running_gateway, client
+):
+    limiter = gateway.connections
+    await until_connected(gateway, 1)
+    others = [await running_gateway.connect() for _ in range(limiter.max_admitted + 20)]
+    late = (await running_gateway.connect()).send(http_request())
+    while True:  # at the limit a new connection is closed, and the client connects again
+        received = asyncio.ensure_future(endpoint.next_request())
+        closed = asyncio.ensure_future(late.is_closed_by_peer())
+        await asyncio.wait((received, closed), return_when=asyncio.FIRST_COMPLETED)
+        if received.done():
             break
-        asked.cancel()
-        late = (await gate.client()).send(request())
-    gone.cancel()
-    assert len(admission) <= admission.max_admitted and len(gate.gateway.open) == 1
-    for one in crowd:
-        one.close()
+        received.cancel()
+        late = (await running_gateway.connect()).send(http_request())
+    closed.cancel()
+    assert len(limiter) <= limiter.max_admitted and len(gateway.open) == 1
+    for other in others:
+        other.close()
 
 
-async def test_excess_idle_connections_close_longest_idle_first(endpoint, gate, client):
-    """Seen with clients that ask once and stay: they held all connections that clients may hold."""
-    gate.gateway.connections.max_idle = 1
-    first, second = client, await gate.client()
-    for one in (first, second):
-        one.send(request())
-        _, writer = await endpoint.asked()
-        writer.write(answer())
-        await one.answer()
-    later(gate, 1900)
-    assert len(gate.gateway.connections) == 2
-    later(gate, 2100)
-    assert await first.ends()
-    assert len(gate.gateway.connections) == 1
-    later(gate, 61_000)
-    assert await second.ends()
+async def test_excess_idle_connections_close_longest_idle_first(endpoint, gateway, running_gateway, client):
+    gateway.connections.max_idle = 1
+    second = await running_gateway.connect()
+    for one in (client, second):
+        await complete_request(endpoint, one)
+    sweep_after(gateway, 1900)
+    assert len(gateway.connections) == 2
+    sweep_after(gateway, 2100)
+    assert await client.is_closed_by_peer()
+    assert len(gateway.connections) == 1
+    sweep_after(gateway, 61_000)
+    assert await second.is_closed_by_peer()
 
 
-async def test_idle_connections_close_sooner_under_overload(endpoint, gate, client):
-    """Seen: 128 that asked once came within 2 s and held all the connections that clients may hold."""
-    gate.gateway.connections.crowd_size = 1
-    other = await gate.client()
+async def test_idle_connections_close_sooner_under_overload(endpoint, gateway, running_gateway, client):
+    gateway.connections.crowd_size = 1
+    other = await running_gateway.connect()
     for one in (client, other):
-        one.send(request())
-        _, writer = await endpoint.asked()
-        writer.write(answer())
-        await one.answer()
-    later(gate, 300)
-    assert await client.ends() and len(gate.gateway.connections) == 1
-    later(gate, 300)
-    other.send(request())
-    assert (await endpoint.asked())[0] is not None
+        await complete_request(endpoint, one)
+    sweep_after(gateway, 300)
+    assert await client.is_closed_by_peer() and len(gateway.connections) == 1
+    sweep_after(gateway, 300)
+    other.send(http_request())
+    assert not (await endpoint.next_request()).is_disconnect
--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -1,11 +1,12 @@
-"""Tests of clients: disconnects."""
+"""Tests of clients that disconnect before their response."""
 
 import asyncio
 import socket
 
 import pytest
-from support.fakes import HOST, request
-from support.gateway_scenarios import exchange
+from support.addresses import HOST
+from support.gateway_steps import complete_request
+from support.http_messages import http_request
 
 from gateway.interface.actions import SendAttempt
 from gateway.interface.events import (
@@ -17,69 +18,72 @@
 )
 
 
-async def test_client_disconnect_reaches_the_controller(endpoint, gate, client):
-    client.send(request())
-    await endpoint.asked()
-    came = await gate.script.event(RequestArrived)
+async def test_client_disconnect_reaches_the_controller(endpoint, controller, gateway, client):
+    client.send(http_request())
+    await endpoint.next_request()
+    arrival = await controller.next_event(RequestArrived)
     client.close()
-    assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.gateway.open
+    assert (await controller.next_event(ClientDisconnected)).id == arrival.id and not gateway.open
 
 
 @pytest.mark.scripted_controller(endpoint=None)
-async def test_disconnect_behind_pipelined_bytes_reaches_the_controller(endpoint, gate, client):
-    """The bytes behind it were left unread, and so was the end of the connection behind them: its request
-    went out when its turn came, though nobody waited for it any more."""
-    client.send(request() + b"x" * (4 << 20))
-    came = await gate.script.event(RequestArrived)
+async def test_disconnect_behind_pipelined_bytes_reaches_the_controller(
+    endpoint, controller, gateway, client
+):
+    """No attempt is sent for the request once its client has disconnected."""
+    client.send(http_request() + b"x" * (4 << 20))
+    arrival = await controller.next_event(RequestArrived)
     client.writer.write_eof()
     async with asyncio.timeout(5):
-        assert (await gate.script.event(ClientDisconnected)).id == came.id
-    gate.script.to_do = [SendAttempt(came.id, "w1", 9000.0)]
-    gate.gateway.enqueue(TimerFired("its turn"))
-    assert (
-        await gate.script.event(AttemptEnded)
-    ).result is AttemptResult.NOT_SENT and endpoint.connections == 0
+        assert (await controller.next_event(ClientDisconnected)).id == arrival.id
+    controller.pending_actions = [SendAttempt(arrival.id, "w1", 9000.0)]
+    gateway.enqueue(TimerFired("dispatch"))
+    outcome = await controller.next_event(AttemptEnded)
+    assert outcome.result is AttemptResult.NOT_SENT
+    assert endpoint.connection_count == 0
 
 
 @pytest.mark.scripted_controller(endpoint=None)
-async def test_disconnect_with_an_unread_response_reaches_the_controller(gate, client):
-    """The connection's end was told once all was written, which may be never, and the request went out."""
-    client.send(request())
-    came = await gate.script.event(RequestArrived)
-    (connection,) = gate.gateway.connections.all
+async def test_disconnect_with_an_unread_response_reaches_the_controller(controller, gateway, client):
+    """The end of the connection is detected although the response is not written completely."""
+    client.send(http_request())
+    arrival = await controller.next_event(RequestArrived)
+    (connection,) = gateway.connections.all
     client.reader._transport.pause_reading()
     connection.transport.write(bytes(16 << 20))
     client.writer.write_eof()
     async with asyncio.timeout(5):
-        assert (await gate.script.event(ClientDisconnected)).id == came.id
-        while gate.gateway.connections.all:  # and its descriptor is free after a while
+        assert (await controller.next_event(ClientDisconnected)).id == arrival.id
+        while gateway.connections.all:  # its descriptor becomes free
             await asyncio.sleep(0.01)
 
 
-async def test_no_attempt_starts_for_a_client_whose_end_is_unread(monkeypatch, endpoint, gate, client):
+async def test_no_attempt_starts_for_a_client_whose_end_is_unread(
+    monkeypatch, endpoint, controller, gateway, running_gateway, client
+):
     monkeypatch.setattr("gateway.network.upstream.connection.REUSE_DELAY_MS", 0.0)
-    await exchange(endpoint, client)  # leaves a connection on which a request goes out at once
-    await gate.script.event(RequestArrived)
-    await gate.script.event(AttemptEnded)
-    gate.script.endpoint = None
+    await complete_request(endpoint, client)  # leaves an idle connection to the endpoint
+    await controller.next_event(RequestArrived)
+    await controller.next_event(AttemptEnded)
+    controller.endpoint = None
     with socket.socket() as sock:
         sock.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(sock, (HOST, gate.port))
-        sock.send(request())
-        came = await gate.script.event(RequestArrived)
-    gate.gateway._send(SendAttempt(came.id, "w1", 9000.0))  # before the loop can read it
-    done = await gate.script.event(AttemptEnded)
-    assert (done.id, done.result, done.final) == (came.id, AttemptResult.NOT_SENT, True)
-    assert (await gate.script.event(ClientDisconnected)).id == came.id
-    assert endpoint.requests.empty() and not gate.gateway.attempts
+        await asyncio.get_running_loop().sock_connect(sock, (HOST, running_gateway.port))
+        sock.send(http_request())
+        arrival = await controller.next_event(RequestArrived)
+    gateway._send(SendAttempt(arrival.id, "w1", 9000.0))  # before the end is read
+    outcome = await controller.next_event(AttemptEnded)
+    assert (outcome.id, outcome.result, outcome.final) == (arrival.id, AttemptResult.NOT_SENT, True)
+    assert (await controller.next_event(ClientDisconnected)).id == arrival.id
+    assert endpoint.requests.empty() and not gateway.attempts
 
 
-async def test_incompletely_written_attempt_ends_with_its_client(endpoint, gate, client):
-    client.send(request(path="/debit", body=bytes(60_000)))
-    await endpoint.asked()
-    (attempt,) = gate.gateway.attempts.values()
-    attempt.connection.pause_writing()  # as the transport tells it while bytes are left
+async def test_incompletely_written_attempt_ends_with_its_client(endpoint, controller, gateway, client):
+    client.send(http_request(path="/debit", body=bytes(60_000)))
+    await endpoint.next_request()
+    (attempt,) = gateway.attempts.values()
+    attempt.connection.pause_writing()  # as the transport does while bytes are unwritten
     client.close()
-    done = await gate.script.event(AttemptEnded)
-    assert (done.result, done.final) == (AttemptResult.NOT_SENT, True)
-    assert (await endpoint.asked())[0] is None
+    outcome = await controller.next_event(AttemptEnded)
+    assert (outcome.result, outcome.final) == (AttemptResult.NOT_SENT, True)
+    assert (await endpoint.next_request()).is_disconnect
--- a/tests/network/clients/test_timeouts.py
+++ b/tests/network/clients/test_timeouts.py
@@ -1,32 +1,32 @@
-"""Tests of clients: timeouts."""
+"""Tests of requests that arrive too slowly."""
 
 import asyncio
 
 import pytest
-from support.fakes import request
-from support.gateway_scenarios import later, taken
+from support.gateway_steps import sweep_after, until_connected
+from support.http_messages import http_request
 
 from gateway.network.clients.connection_limiter import SWEEP_MS
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("sent", "status"),
     [
         (b"", None),
         (b"\r\n\r\n\r\n", None),
         (b"GET /look HTTP/1.1\r\n", 408),
-        (request(body=b"half")[:-2], 408),
+        (http_request(body=b"half")[:-2], 408),
     ],
 )
-async def test_incomplete_request_times_out_with_an_error_or_a_close(said, status, gate, client):
-    """Within 3 s, sweep and all; it was 11 s for half a request, and for ever for silence."""
-    client.send(said)
-    while said and not any(one.size for one in gate.gateway.connections.all):
+async def test_incomplete_request_times_out_with_an_error_or_a_close(sent, status, gateway, client):
+    """That takes 2 to 3 s, including the interval of the sweep."""
+    client.send(sent)
+    while sent and not any(one.size for one in gateway.connections.all):
         await asyncio.sleep(0)
-    await taken(gate, 1)
-    later(gate, 2000)
-    (one,) = gate.gateway.connections.all
-    assert not one.ending
-    later(gate, 3000 - SWEEP_MS)
-    told = await client.answer()
-    assert (told and told[0]) == status and await client.ends()
+    await until_connected(gateway, 1)
+    sweep_after(gateway, 2000)
+    (connection,) = gateway.connections.all
+    assert not connection.ending
+    sweep_after(gateway, 3000 - SWEEP_MS)
+    response = await client.next_response()
+    assert (response and response.status) == status and await client.is_closed_by_peer()
--- a/tests/network/clients/test_upload.py
+++ b/tests/network/clients/test_upload.py
@@ -1,41 +1,43 @@
-"""Tests of clients: upload."""
+"""Tests of a request body, and of the endpoint that it is sent to."""
 
 import pytest
 
-from gateway.network.clients import upload as bodies
+from gateway.network.clients import upload as uploads
 
 
-class Ends:
-    """A client and a worker's connection, as an upload sees them."""
+class FakeConnection:
+    """A client's or an endpoint's connection, as an upload uses it."""
 
-    def __init__(self):
-        self.is_body_released, self.gone, self.blocked, self.text = False, False, False, b""
+    def __init__(self, disconnected=False):
+        self.is_body_released = False
+        self.disconnected = disconnected
+        self.blocked = False
+        self.written = b""
 
     def on_body_released(self):
         self.is_body_released = True
 
     def is_disconnected(self):
-        return self.gone
+        return self.disconnected
 
     def write_last(self, data):
-        self.text += data
+        self.written += data
 
 
 @pytest.mark.parametrize(
-    ("length", "text"), [(4, b"head\r\n\r\nbody"), (None, b"head\r\n\r\n4\r\nbody\r\n0\r\n\r\n")]
+    ("length", "written"), [(4, b"head\r\n\r\nbody"), (None, b"head\r\n\r\n4\r\nbody\r\n0\r\n\r\n")]
 )
-def test_complete_body_is_sent_to_one_endpoint_only(length, text):
-    """It was not said to be gone: a further attempt went out with its head and nothing of its body."""
-    client, sink = Ends(), Ends()
-    body = bodies.Upload(client, length, b"")
-    body.feed(b"body")
-    body.end()
-    assert body.may_send()
-    body.attach(sink, b"head\r\n\r\n")
-    assert sink.text == text and client.is_body_released and not body.may_send()
+def test_complete_body_is_sent_to_one_endpoint_only(length, written):
+    client = FakeConnection()
+    endpoint = FakeConnection()
+    upload = uploads.Upload(client, length, b"")
+    upload.feed(b"body")
+    upload.end()
+    assert upload.may_send()
+    upload.attach(endpoint, b"head\r\n\r\n")
+    assert endpoint.written == written and client.is_body_released and not upload.may_send()
 
 
 def test_body_of_a_disconnected_client_is_sent_to_no_endpoint():
-    client = Ends()
-    client.gone = True
-    assert not bodies.Upload(client, 4, b"body").may_send()
+    client = FakeConnection(disconnected=True)
+    assert not uploads.Upload(client, 4, b"body").may_send()
--- a/tests/network/conftest.py
+++ b/tests/network/conftest.py
@@ -1,36 +1,38 @@
-"""Fixtures for tests of the network code: an endpoint, a gateway and a client on loopback."""
+"""Fixtures for tests of the network code: a gateway and a client on loopback."""
 
+import pytest
 import pytest_asyncio
-from support.fakes import FakeWorker, Gate, Script, entry
+from support.configurations import endpoint_entry
+from support.running_gateway import RunningGateway
+from support.scripted_controller import ScriptedController
 
 
-def scripted_controller(request):
-    """Return the controller that the test's `scripted_controller` marker describes."""
+@pytest_asyncio.fixture
+async def controller(request):
+    """The gateway's controller, as the test's `scripted_controller` marker describes it."""
     marker = request.node.get_closest_marker("scripted_controller")
     if marker is None:
-        return Script()
+        return ScriptedController()
     options = dict(marker.kwargs)
-    factory = options.pop("factory", Script)
-    if "endpoint" in options:
-        options["worker"] = options.pop("endpoint")
+    factory = options.pop("factory", ScriptedController)
     return factory(**options)
 
 
 @pytest_asyncio.fixture
-async def endpoint():
-    """An endpoint, which the gateway lists as w1."""
-    async with FakeWorker() as endpoint:
-        yield endpoint
+async def running_gateway(controller, endpoint):
+    """A running gateway whose controller is scripted."""
+    known = [endpoint_entry("w1", endpoint.port)]
+    async with RunningGateway(controller, known=known) as running_gateway:
+        yield running_gateway
 
 
-@pytest_asyncio.fixture
-async def gate(request, endpoint):
-    """A gateway whose controller is scripted."""
-    async with Gate(scripted_controller(request), known=[entry("w1", endpoint.port)]) as gate:
-        yield gate
+@pytest.fixture
+def gateway(running_gateway):
+    """The program's gateway object."""
+    return running_gateway.gateway
 
 
 @pytest_asyncio.fixture
-async def client(gate):
+async def client(running_gateway):
     """A connected client of the gateway."""
-    return await gate.client()
+    return await running_gateway.connect()
--- a/tests/network/discovery/conftest.py
+++ b/tests/network/discovery/conftest.py
@@ -2,30 +2,39 @@
 
 import asyncio
 
+import pytest
 import pytest_asyncio
-from support.fakes import HOST, FakeDiscovery
+from support.addresses import HOST
 
 from gateway.network.discovery.watch import Discovery
 
 
-@pytest_asyncio.fixture
-async def discovery_service():
-    """A discovery service whose calls the test answers."""
-    async with FakeDiscovery() as service:
-        yield service
+@pytest.fixture
+def received_lists():
+    """A queue of the endpoint lists that discovery has reported."""
+    return asyncio.Queue()
 
 
 @pytest_asyncio.fixture
-async def received_lists():
-    """A queue of the endpoint lists that discovery has reported."""
-    return asyncio.Queue()
+async def start_discovery(received_lists):
+    """A function that starts the gateway's side of discovery, which stops after the test.
+
+    It takes the discovery service's port and, where a list is configured, that list's index.
+    """
+    tasks = []
+
+    def start(port, *index):
+        discovery = Discovery((HOST, port), received_lists.put_nowait, *index)
+        tasks.append(asyncio.create_task(discovery.run()))
+        return discovery
+
+    yield start
+    for task in tasks:
+        task.cancel()
+    await asyncio.gather(*tasks, return_exceptions=True)
 
 
 @pytest_asyncio.fixture
-async def discovery(discovery_service, received_lists):
-    """The gateway's side of discovery, running."""
-    discovery = Discovery((HOST, discovery_service.port), received_lists.put_nowait)
-    task = asyncio.get_running_loop().create_task(discovery.run())
-    yield discovery
-    task.cancel()
-    await asyncio.gather(task, return_exceptions=True)
+async def discovery(start_discovery, discovery_service):
+    """The gateway's side of discovery, running without a configured list."""
+    return start_discovery(discovery_service.port)
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -1,16 +1,15 @@
-"""Tests of discovery: backoff."""
+"""Tests of the pace of calls at discovery when calls fail."""
 
 import asyncio
 import bisect
-import contextlib
 import itertools
 import random
 
 import pytest
-from support.discovery_scenarios import WATCH
-from support.fakes import HOST
+from support.addresses import HOST
+from support.fake_discovery import WATCH_TARGET
+from support.simulated_watch import FIRST_INDEX, UNCHANGED, CallOutcome, simulate_watch
 
-from gateway.config import EndpointList
 from gateway.network.discovery.backoff import CallPace
 from gateway.network.discovery.client import (
     DiscoveryError,
@@ -20,166 +19,144 @@
 )
 from gateway.network.discovery.watch import Discovery
 
-
-def calls_of(monkeypatch, call, **more):
-    """When a gateway calls, where `call(now_s, limit_s)` says what comes of each: an answer, or how it fails,
-    and how long that takes. The time is the test's. Ends with the first answer after the first call."""
-    at_s, begun_s, answered = [0.0], [], []
-
-    async def sleep(seconds):
-        at_s[0] += seconds
-
-    async def called(_target, limit_s):
-        begun_s.append(at_s[0])
-        outcome, took_s = call(at_s[0], limit_s)
-        at_s[0] += took_s
-        if isinstance(outcome, Exception):
-            raise outcome
-        answered.append(at_s[0])
-        if len(answered) == 2:
-            raise asyncio.CancelledError
-        return outcome
-
-    async def scenario():
-        discovery = Discovery((HOST, 9), print, 41, **more)
-        discovery._call = called
-        with monkeypatch.context() as patch:
-            patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
-            patch.setattr(
-                "gateway.network.discovery.watch.asyncio.get_running_loop",
-                lambda: type("Loop", (), {"time": staticmethod(lambda: at_s[0])}),
-            )
-            await discovery._watch()
-
-    with contextlib.suppress(asyncio.CancelledError):
-        asyncio.run(scenario())
-    return begun_s, answered
-
-
-NEWS = EndpointList(41, False, ())
-
-
-FAILURES = {  # and whether it takes as long as the caller waits
-    "503": (DiscoveryOverloadedError("status 503"), False),
+OVERLOADED = DiscoveryOverloadedError("status 503")
+TIMED_OUT = DiscoveryTimeoutError("no answer in time")
+UNTIL_TIMEOUT = None  # the duration of a call that gets no response
+FAILURES = {  # errors, and how long the calls take, s
+    "503": (OVERLOADED, 0.0),
     "429 after 2 s": (DiscoveryOverloadedError("status 429"), 2.0),
-    "reset": (DiscoveryError("the connection failed"), False),
-    "unreadable": (InvalidAnswerError("no JSON"), False),
-    "silence": (DiscoveryTimeoutError("no answer in time"), True),
+    "reset": (DiscoveryError("the connection failed"), 0.0),
+    "unreadable": (InvalidAnswerError("no JSON"), 0.0),
+    "silence": (TIMED_OUT, UNTIL_TIMEOUT),
 }
 
 
+def sampled_seeds(fleet):
+    """Return the seeds of at most about 40 gateways of a fleet."""
+    return range(0, fleet, max(1, fleet // 40))
+
+
+def overloaded_for_30_s(now_s, _timeout_s):
+    """Serve the first call, and none in the 30 s behind it."""
+    if not now_s or now_s > 30:
+        return CallOutcome(UNCHANGED, 0.5)
+    return CallOutcome(OVERLOADED, 0.0)
+
+
 @pytest.mark.parametrize("fleet", [1, 3, 40, 230])
 def test_refused_fleet_spreads_its_retries(fleet, monkeypatch):
-    """Seen in a fleet of 40: discovery served 2 to 7 calls a second and turned away who had waited for 2 s;
-    13 calls a second kept it so for 30 s. Here all have had a list, and 0.5 s later none is served any more:
-    how many of them call in any 0.5 s. Each may take 3.5 s at most, so a fleet can't call less than that."""
-
-    def call(now_s, _limit_s):
-        return (NEWS, 0.5) if not now_s or now_s > 30 else (DiscoveryOverloadedError("status 503"), 0.0)
-
-    gateways = [calls_of(monkeypatch, call, fleet=fleet, seed=seed)[0][1:-1] for seed in range(fleet)]
-    assert len({one[1] for one in gateways}) == fleet
-    gaps = [b - a for one in gateways for a, b in itertools.pairwise(one)]
-    if fleet <= 3:  # as ever: at once, and then at least every 0.75 s
-        assert max(gaps) <= 0.75
-    else:
-        in_all = sorted(second for one in gateways for second in one[1:])
-        most = max(bisect.bisect(in_all, second + 0.5) - n for n, second in enumerate(in_all))
-        even = fleet * 0.5 / 3.15
-        assert most <= even + 3 * even**0.5 and max(gaps) < 3.51
-        assert len(in_all) <= fleet * 30 / 3.0
+    """Of a large fleet no 0.5 s get many more retries than an even spread over the backoff would give."""
+    watches = [
+        simulate_watch(monkeypatch, overloaded_for_30_s, fleet=fleet, seed=seed) for seed in range(fleet)
+    ]
+    calls_s = [watch.began_s[1:-1] for watch in watches]
+    assert len({calls[1] for calls in calls_s}) == fleet
+    gaps_s = [after - before for calls in calls_s for before, after in itertools.pairwise(calls)]
+    if fleet <= 3:
+        assert max(gaps_s) <= 0.75
+        return
+    retries_s = sorted(at_s for calls in calls_s for at_s in calls[1:])
+    most = max(bisect.bisect(retries_s, at_s + 0.5) - n for n, at_s in enumerate(retries_s))
+    even = fleet * 0.5 / 3.15
+    assert most <= even + 3 * even**0.5 and max(gaps_s) < 3.51
+    assert len(retries_s) <= fleet * 30 / 3.0
 
 
 @pytest.mark.parametrize("fleet", [1, 40, 230])
 def test_first_refused_call_counts_from_its_start(fleet, monkeypatch):
-    """Discovery is back while it waits for its turn, has none for it after 2 s, and has one for the next."""
-    for seed in range(0, fleet, max(1, fleet // 40)):
-        turned = []
+    """After 20 s of silence discovery rejects one call after 2 s, and serves the next."""
+    for seed in sampled_seeds(fleet):
+        rejected_s = []
 
-        def call(now_s, limit_s, turned=turned):
-            if not now_s or turned:
-                return NEWS, 2.0
+        def respond(now_s, timeout_s, rejected_s=rejected_s):
+            if not now_s or rejected_s:
+                return CallOutcome(UNCHANGED, 2.0)
             if now_s < 20:
-                return FAILURES["silence"][0], limit_s
-            turned.append(now_s)
-            return FAILURES["503"][0], 2.0
+                return CallOutcome(TIMED_OUT, timeout_s)
+            rejected_s.append(now_s)
+            return CallOutcome(OVERLOADED, 2.0)
 
-        _, answered = calls_of(monkeypatch, call, fleet=fleet, seed=seed)
-        assert answered[1] <= turned[0] + 6.0
+        watch = simulate_watch(monkeypatch, respond, fleet=fleet, seed=seed)
+        assert watch.succeeded_s[1] <= rejected_s[0] + 6.0
 
 
 @pytest.mark.parametrize("failure", FAILURES)
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("fleet", [1, 40, 230])
 def test_change_is_applied_within_6_s_after_discovery_is_reachable(fleet, pushed, failure, monkeypatch):
-    """Whatever the calls before came to, and however long discovery takes for its turn: 2 s at most. In a
-    fleet of 230 the wait after a call that was turned away was up to 180 s."""
-    problem, hangs = FAILURES[failure]
-    for seed in range(0, fleet, max(1, fleet // 40)):
+    """The calls before may have failed in any way, and discovery may take 2 s for a response."""
+    error, failing_s = FAILURES[failure]
+    for seed in sampled_seeds(fleet):
         back_s = random.Random(seed).uniform(1, 30)
 
-        def call(now_s, limit_s, back_s=back_s):
+        def respond(now_s, timeout_s, back_s=back_s):
             if not now_s:
-                return NEWS, 0.5
+                return CallOutcome(UNCHANGED, 0.5)
             if now_s >= back_s:
-                return NEWS, 0.01 if pushed else 2.0
-            return problem, limit_s if hangs is True else float(hangs)
+                return CallOutcome(UNCHANGED, 0.01 if pushed else 2.0)
+            return CallOutcome(error, timeout_s if failing_s is UNTIL_TIMEOUT else failing_s)
 
-        begun_s, answered = calls_of(monkeypatch, call, fleet=fleet, seed=seed, pushed=pushed, grace_s=2.0)
-        # The first of them is a watch that falls silent: it may go on for as long as it was to wait, and 2 s.
-        # Who is refused again and again has discovery within reach from the last refusal on.
-        silent_s = begun_s[2] - 1.02 if hangs is True else 0.0
-        back_s = max(back_s, begun_s[-2] + hangs) if hangs == 2.0 else back_s
-        assert answered[1] <= max(back_s + 6.0, silent_s + 2.0 + 2.2 * (not pushed)), (seed, back_s, begun_s)
+        watch = simulate_watch(monkeypatch, respond, fleet=fleet, seed=seed, pushed=pushed, grace_s=2.0)
+        # The first silent call is a watch, which may last for its own time and 2 s more.
+        silent_s = watch.began_s[2] - 1.02 if failing_s is UNTIL_TIMEOUT else 0.0
+        # Discovery that rejects a call only after 2 s is reachable from the end of its last rejection on.
+        reachable_s = max(back_s, watch.began_s[-2] + failing_s) if failing_s else back_s
+        latest_s = max(reachable_s + 6.0, silent_s + 2.0 + 2.2 * (not pushed))
+        assert watch.succeeded_s[1] <= latest_s, (seed, reachable_s, watch.began_s)
+
+
+async def broken_watch(monkeypatch, **options):
+    """Return the targets and the pauses of a watch with one success and 12 failures behind it."""
+    results = iter([UNCHANGED, *[DiscoveryError("the connection ended")] * 12, asyncio.CancelledError()])
+    targets = []
+    pauses_s = []
+
+    async def sleep(seconds):
+        pauses_s.append(seconds)
+
+    async def call(target, _timeout_s):
+        targets.append(target)
+        result = next(results)
+        if isinstance(result, BaseException):
+            raise result
+        return result
+
+    discovery = Discovery((HOST, 9), print, FIRST_INDEX, **options)
+    discovery._call = call
+    with monkeypatch.context() as patch:
+        patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
+        await asyncio.gather(discovery._watch(), return_exceptions=True)
+    return targets, pauses_s
 
 
 @pytest.mark.parametrize("fleet", [1, 3, 40, 200])
 @pytest.mark.parametrize("grace_s", [0.0, 0.25, 2.0])
 async def test_broken_watch_of_pushed_lists_reopens_within_the_grace_period(fleet, grace_s, monkeypatch):
-    """Seen in a fleet of 200: a watch that fell silent was given up after 41 s and opened anew up to 150 s
-    later. What an agent on the own machine has counts as told, so nobody waits for the others there."""
-
-    async def gateway(seed):
-        failures = iter([DiscoveryError("the connection ended")] * 12)
-        waits, targets = [], []
-
-        async def sleep(seconds):
-            waits.append(seconds)
-
-        async def call(target, _limit_s):
-            targets.append(target)
-            if len(targets) == 1:
-                return EndpointList(41, False, ())
-            raise next(failures, asyncio.CancelledError())
-
-        discovery = Discovery((HOST, 9), print, 41, fleet=fleet, seed=seed, pushed=True, grace_s=grace_s)
-        discovery._call = call
-        with monkeypatch.context() as patch:
-            patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
-            await asyncio.gather(discovery._watch(), return_exceptions=True)
-        assert targets[1] == WATCH.format(41)
-        assert len(waits) == 12 and waits[0] < 0.05 and max(waits) < max(0.05, grace_s / 2)
-        assert min(waits) >= 0.01  # but it does not call without end
-
     for seed in range(fleet):
-        await gateway(seed)
+        targets, pauses_s = await broken_watch(
+            monkeypatch, fleet=fleet, seed=seed, pushed=True, grace_s=grace_s
+        )
+        assert targets[1] == WATCH_TARGET.format(41)
+        assert len(pauses_s) == 12 and pauses_s[0] < 0.05
+        assert max(pauses_s) < max(0.05, grace_s / 2)
+        assert min(pauses_s) >= 0.01
 
 
 def test_refusal_shows_that_discovery_is_shared():
     pace = CallPace(40, random.Random(1), alone=True)
-    alone = max(pace.after_failure_s() for _ in range(20)), pace.watch_ms()
+    longest_s = max(pace.after_failure_s() for _ in range(20))
+    assert (longest_s, pace.watch_ms()) == (pytest.approx(0.5, abs=0.25), 5000)
     pace.on_overload()
-    assert alone == (pytest.approx(0.5, abs=0.25), 5000)
-    assert max(pace.after_failure_s() for _ in range(20)) > 3 and pace.watch_ms() == 40_000
+    longest_s = max(pace.after_failure_s() for _ in range(20))
+    assert longest_s > 3 and pace.watch_ms() == 40_000
 
 
 def test_first_retry_after_a_start_comes_sooner():
-    """Its list may be an old one, and the others have theirs."""
-    started, settled = (
-        [CallPace(14, random.Random(seed)) for seed in range(40)],
-        [CallPace(14, random.Random(seed)) for seed in range(40)],
-    )
+    """A gateway that starts may have an old list."""
+    started = [CallPace(14, random.Random(seed)) for seed in range(40)]
+    settled = [CallPace(14, random.Random(seed)) for seed in range(40)]
     for pace in settled:
         pace.on_answer()
-    first, later = [one.after_failure_s() for one in started], [one.after_failure_s() for one in settled]
-    assert sum(first) < 0.7 * sum(later) and max(first) < 2.3 and max(later) <= 3.5
+    first_s = [pace.after_failure_s() for pace in started]
+    later_s = [pace.after_failure_s() for pace in settled]
+    assert sum(first_s) < 0.7 * sum(later_s) and max(first_s) < 2.3 and max(later_s) <= 3.5
--- a/tests/network/hot_restart/test_hot_restart.py
+++ b/tests/network/hot_restart/test_hot_restart.py
@@ -1,187 +1,189 @@
-"""Tests of hot_restart: hot restart."""
+"""Tests of processes that replace each other while they serve."""
 
 import asyncio
 import contextlib
 import json
-import os
 import pathlib
 import signal
 import socket
 
 import pytest
 import pytest_asyncio
-from support.fakes import (
-    HOST,
-    Client,
-    FakeDiscovery,
-    FakeWorker,
-    answer,
-    config,
-    entry,
-    listing,
-    request,
-    told,
-)
-from support.process_scenarios import free_port, start
+from support.addresses import HOST
+from support.client import TestClient
+from support.configurations import configuration, endpoint_entry, endpoint_list
+from support.http_messages import http_request, http_response, json_response
+from support.processes import free_port, open_descriptors, start_process
 
 READY = b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"
+POLL_INTERVAL_S = 0.01
+START_TIMEOUT_S = 15.0
 
 
-async def until_yes(port):
-    """The first yes at a door."""
+async def until_admin_ready(admin_port):
+    """Return once the process at this admin port answers that it is ready."""
     while True:
         try:
-            caller = await Client().open(port)
-            reply = await caller.send(READY).answer()
+            client = await TestClient().connect(admin_port)
+            response = await client.send(READY).next_response()
         except OSError:
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(POLL_INTERVAL_S)
             continue
-        caller.close()
-        if reply and reply[0] == 200:
+        client.close()
+        if response and response.status == 200:
             return
-        await asyncio.sleep(0.01)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def answer_calls(fake, *entries):
-    """Discovery as it mostly is: the list for whoever asks, and silent watches."""
+async def answer_calls(discovery_service, *entries):
+    """Answer calls for a snapshot, and leave each watch open."""
     while True:
-        target, writer = await fake.called()
+        target, writer = await discovery_service.next_call()
         if "since" not in target:
-            writer.write(told(listing(*entries)))
+            writer.write(json_response(endpoint_list(*entries)))
 
 
-class Site:
-    """Processes of one gatekeeper, one after another; each has a door of its own."""
+class Deployment:
+    """Successive processes of one gateway, each with an admin port of its own."""
 
-    def __init__(self, folder, worker, fake):
-        self.folder, self.worker, self.fake, self.port = folder, worker, fake, free_port()
+    def __init__(self, folder, port, endpoint, discovery_service):
+        self.folder = folder
+        self.port = port
+        self.endpoint = endpoint
+        self.discovery_service = discovery_service
         self.processes = []
 
-    async def start(self, wait=True):
-        door = free_port()
+    async def start(self):
+        """Start the next process, and return it with its admin port once it is ready."""
+        admin_port = free_port()
         path = self.folder / f"config{len(self.processes)}.json"
-        path.write_text(json.dumps(config(self.fake.port, self.port, control=f"{HOST}:{door}")))
-        process = await start(path, str(self.folder))
+        control = f"{HOST}:{admin_port}"
+        path.write_text(json.dumps(configuration(self.discovery_service.port, self.port, control=control)))
+        process = await start_process(path, str(self.folder))
         self.processes.append(process)
-        if wait:
-            await until_yes(door)
-        return process, door
+        await until_admin_ready(admin_port)
+        return process, admin_port
 
-    async def asked(self):
-        """The way to answer the next request that comes to the worker; ends of connections are passed by."""
+    async def next_request(self):
+        """Return the writer of the next request at the endpoint; ends of connections are skipped."""
         while True:
-            message, writer = await self.worker.asked()
-            if message is not None:
-                return writer
-
-    async def asks(self, client=None):
-        """One request from a client to the worker and back."""
-        client = client or await Client().open(self.port)
-        client.send(request())
-        writer = await self.asked()
-        writer.write(answer())
-        return await client.answer(), client
+            received = await self.endpoint.next_request()
+            if not received.is_disconnect:
+                return received.writer
+
+    async def complete_request(self, client=None):
+        """Let a client's request be answered, and return the response and the client."""
+        client = client or await TestClient().connect(self.port)
+        client.send(http_request())
+        writer = await self.next_request()
+        writer.write(http_response())
+        return await client.next_response(), client
+
+    async def connect(self):
+        """Return a client with an idle connection that has served a request."""
+        _, client = await self.complete_request()
+        return client
+
+    async def kill(self):
+        for process in self.processes:
+            with contextlib.suppress(ProcessLookupError):
+                process.send_signal(signal.SIGCONT)
+                process.kill()
+            await process.wait()
 
 
 @pytest_asyncio.fixture
-async def site(tmp_path):
+async def deployment(tmp_path, port, endpoint, discovery_service):
     """A place for processes of one gateway, with discovery and an endpoint."""
-    async with FakeDiscovery() as fake, FakeWorker() as worker:
-        site = Site(tmp_path, worker, fake)
-        calls = asyncio.create_task(answer_calls(fake, entry("w1", worker.port)))
-        try:
-            yield site
-        finally:
-            calls.cancel()
-            for process in site.processes:
-                with contextlib.suppress(ProcessLookupError):
-                    process.send_signal(signal.SIGCONT)
-                    process.kill()
-                await process.wait()
-
-
-async def test_successor_gets_the_connections_and_predecessor_answers_its_requests(site):
-    old, old_door = await site.start()
-    kept, busy = (await site.asks())[1], (await site.asks())[1]
-    busy.send(request())
-    writer = await site.asked()
-    _new, _ = await site.start()
-    caller = await Client().open(old_door)
-    assert (await caller.send(READY).answer())[0] == 503  # it serves no more
-    reply, _ = await site.asks(kept)
-    assert reply[0] == 200 and "connection" not in reply[1]
+    deployment = Deployment(tmp_path, port, endpoint, discovery_service)
+    calls = asyncio.create_task(answer_calls(discovery_service, endpoint_entry("w1", endpoint.port)))
+    try:
+        yield deployment
+    finally:
+        calls.cancel()
+        await deployment.kill()
+
+
+async def test_successor_gets_the_connections_and_predecessor_answers_its_requests(deployment):
+    old, old_admin_port = await deployment.start()
+    kept = await deployment.connect()
+    busy = await deployment.connect()
+    busy.send(http_request())
+    writer = await deployment.next_request()
+    await deployment.start()
+    caller = await TestClient().connect(old_admin_port)
+    assert (await caller.send(READY).next_response()).status == 503  # it serves no more
+    response, _ = await deployment.complete_request(kept)
+    assert response.status == 200 and "connection" not in response.headers
     old.send_signal(signal.SIGTERM)
-    assert (await site.asks())[0][0] == 200
-    writer.write(answer(body=b"late"))
-    assert (await busy.answer())[2] == b"late"
+    assert (await deployment.complete_request())[0].status == 200
+    writer.write(http_response(body=b"late"))
+    assert (await busy.next_response()).body == b"late"
     assert await old.wait() == 0
     for client in (kept, busy, None):  # nothing was closed on the way
-        assert (await site.asks(client))[0][0] == 200
+        assert (await deployment.complete_request(client))[0].status == 200
 
 
-async def test_third_process_follows_the_second(site):
-    first, _ = await site.start()
-    client = (await site.asks())[1]
-    second, _ = await site.start()
+async def test_third_process_follows_the_second(deployment):
+    first, _ = await deployment.start()
+    client = await deployment.connect()
+    second, _ = await deployment.start()
     first.send_signal(signal.SIGTERM)
     assert await first.wait() == 0
-    await site.start()
+    await deployment.start()
     second.send_signal(signal.SIGTERM)
     assert await second.wait() == 0
-    assert (await site.asks(client))[0][0] == 200
+    assert (await deployment.complete_request(client))[0].status == 200
 
 
-@pytest.mark.parametrize("trouble", [signal.SIGSTOP, signal.SIGKILL])
-async def test_unresponsive_predecessor_does_not_delay_the_start(trouble, site):
-    old, _ = await site.start()
-    old.send_signal(trouble)
-    if trouble is signal.SIGKILL:
+@pytest.mark.parametrize("fault", [signal.SIGSTOP, signal.SIGKILL])
+async def test_unresponsive_predecessor_does_not_delay_the_start(fault, deployment):
+    old, _ = await deployment.start()
+    old.send_signal(fault)
+    if fault is signal.SIGKILL:
         await old.wait()  # its socket file stays
-    async with asyncio.timeout(15):
-        await site.start()
-    if trouble is signal.SIGKILL:
-        assert (await site.asks())[0][0] == 200
+    async with asyncio.timeout(START_TIMEOUT_S):
+        await deployment.start()
+    if fault is signal.SIGKILL:
+        assert (await deployment.complete_request())[0].status == 200
 
 
-async def test_foreign_file_in_place_of_the_socket_does_not_delay_the_start(tmp_path, site):
-    path = tmp_path / f"gatekeeper-{HOST}-{site.port}"
+async def test_foreign_file_in_place_of_the_socket_does_not_delay_the_start(tmp_path, deployment):
+    path = tmp_path / f"gatekeeper-{HOST}-{deployment.port}"
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as mute:
         mute.bind(str(path))
         mute.listen(1)
-        async with asyncio.timeout(15):
-            await site.start()
-        assert (await site.asks())[0][0] == 200
+        async with asyncio.timeout(START_TIMEOUT_S):
+            await deployment.start()
+        assert (await deployment.complete_request())[0].status == 200
 
 
-async def test_predecessor_resumes_service_when_its_successor_dies(site):
-    old, door = await site.start()
-    new, _ = await site.start()
+async def test_predecessor_resumes_service_when_its_successor_dies(deployment):
+    old, admin_port = await deployment.start()
+    new, _ = await deployment.start()
     new.kill()
     await new.wait()
-    await until_yes(door)
-    assert (await site.asks())[0][0] == 200
-    await site.start()  # and hands over once more
+    await until_admin_ready(admin_port)
+    assert (await deployment.complete_request())[0].status == 200
+    await deployment.start()  # and hands over once more
     old.send_signal(signal.SIGTERM)
     assert await old.wait() == 0
-    assert (await site.asks())[0][0] == 200
-
+    assert (await deployment.complete_request())[0].status == 200
 
-async def test_descriptors_of_both_processes_stay_within_the_limit(site):
-    def held(process):
-        return len(os.listdir(f"/proc/{process.pid}/fd"))
 
-    old, _ = await site.start()
-    clients = [(await site.asks())[1] for _ in range(20)]
-    before = held(old)
-    new, _ = await site.start()
-    while held(old) > before - 20:
-        await asyncio.sleep(0.01)
-    assert held(old) + held(new) <= 2 * before
+async def test_descriptors_of_both_processes_stay_within_the_limit(deployment):
+    old, _ = await deployment.start()
+    clients = [await deployment.connect() for _ in range(20)]
+    before = open_descriptors(old)
+    new, _ = await deployment.start()
+    while open_descriptors(old) > before - 20:
+        await asyncio.sleep(POLL_INTERVAL_S)
+    assert open_descriptors(old) + open_descriptors(new) <= 2 * before
     for client in clients:
-        assert (await site.asks(client))[0][0] == 200
+        assert (await deployment.complete_request(client))[0].status == 200
 
 
-async def test_socket_file_is_accessible_to_its_owner_only(tmp_path, site):
-    await site.start()
+async def test_socket_file_is_accessible_to_its_owner_only(tmp_path, deployment):
+    await deployment.start()
     (path,) = pathlib.Path(tmp_path).glob("gatekeeper-*")
     assert path.stat().st_mode & 0o077 == 0
--- a/tests/network/test_clock.py
+++ b/tests/network/test_clock.py
@@ -1,4 +1,4 @@
-"""Tests of network: clock."""
+"""Tests of the clock and the timers."""
 
 import asyncio
 
@@ -6,8 +6,11 @@
 
 
 async def test_timers_expire_in_order_and_never_early():
-    loop, clock = asyncio.get_running_loop(), Clock()
-    alarms, fired, done = Timers(loop, clock), [], asyncio.Event()
+    loop = asyncio.get_running_loop()
+    clock = Clock()
+    timers = Timers(loop, clock)
+    fired = []
+    done = asyncio.Event()
     start = clock.now()
 
     def fire(at_ms):
@@ -17,23 +20,25 @@
             done.set()
 
     for at_ms in (30.5, 10.25, 20.0, 0.0):
-        alarms.at(start + at_ms, lambda at_ms=at_ms: fire(at_ms))
-    alarms.at(start + 15, lambda: fire(15)).cancel()
+        timers.at(start + at_ms, lambda at_ms=at_ms: fire(at_ms))
+    timers.at(start + 15, lambda: fire(15)).cancel()
     await done.wait()
     assert fired == [0.0, 10.25, 20.0, 30.5]
 
 
 async def test_failing_timer_does_not_stop_the_others():
-    loop, clock = asyncio.get_running_loop(), Clock()
+    loop = asyncio.get_running_loop()
+    clock = Clock()
     loop.set_exception_handler(lambda *_: None)
-    alarms, done = Timers(loop, clock), asyncio.Event()
-    alarms.at(clock.now(), lambda: 1 / 0)
-    alarms.at(clock.now(), done.set)
+    timers = Timers(loop, clock)
+    done = asyncio.Event()
+    timers.at(clock.now(), lambda: 1 / 0)
+    timers.at(clock.now(), done.set)
     await done.wait()
 
 
 def test_clock_returns_unix_time_and_only_advances(monkeypatch):
     clock = Clock()
     first = clock.now()
-    monkeypatch.setattr("time.time", lambda: 5.0)  # somebody sets the machine's clock back
+    monkeypatch.setattr("time.time", lambda: 5.0)  # as after a step back
     assert clock.now() >= first > 1.6e12
--- a/tests/network/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -1,7 +1,11 @@
-"""Tests of network: gateway."""
+"""Tests of the gateway between a client, a controller and an endpoint."""
 
 import pytest
-from support.fakes import Client, FakeWorker, Gate, answer, entry, request
+from support.client import TestClient
+from support.configurations import endpoint_entry
+from support.fake_endpoint import FakeEndpoint
+from support.http_messages import http_request, http_response
+from support.running_gateway import RunningGateway
 
 from gateway.interface.actions import SendAttempt, SetTimer
 from gateway.interface.events import (
@@ -13,59 +17,60 @@
 )
 
 
-async def test_request_and_response_are_forwarded_unchanged(endpoint, gate, client):
-    client.send(request("00000000000000ab", "/book/7?x=%20y", key="k1", body=b"\x00\r\nbody"))
-    asked, writer = await endpoint.asked()
-    assert (asked.parser.get_method(), asked.url) == (b"POST", b"/book/7?x=%20y")
-    assert asked.body == b"\x00\r\nbody" and asked.headers["x-request-id"] == "00000000000000ab"
-    assert asked.headers["idempotency-key"] == "k1" and asked.headers["x-deadline-ms"] == "20000"
-    writer.write(answer(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n'))
-    status, _, body = await client.answer()
+async def test_request_and_response_are_forwarded_unchanged(endpoint, controller, gateway, client):
+    client.send(http_request("00000000000000ab", "/book/7?x=%20y", key="k1", body=b"\x00\r\nbody"))
+    received, writer = await endpoint.next_request()
+    assert (received.parser.get_method(), received.url) == (b"POST", b"/book/7?x=%20y")
+    assert received.body == b"\x00\r\nbody" and received.headers["x-request-id"] == "00000000000000ab"
+    assert received.headers["idempotency-key"] == "k1" and received.headers["x-deadline-ms"] == "20000"
+    writer.write(http_response(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n'))
+    status, _, body = await client.next_response()
     assert (status, body) == (200, b"\x01\r\n\r\nanswer")
-    came = await gate.script.event(RequestArrived)
-    assert (came.class_name, came.plan_name, came.spread) == ("book", "basic", 2)
-    outcome = await gate.script.event(AttemptEnded)
+    arrival = await controller.next_event(RequestArrived)
+    assert (arrival.class_name, arrival.plan_name, arrival.spread) == ("book", "basic", 2)
+    outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.OK and outcome.final and outcome.load == (0.5, 7.0)
-    assert not gate.gateway.open and not gate.gateway.attempts
-
-
-async def test_first_response_of_two_hedged_attempts_is_the_final_answer(endpoint, gate, client):
-    client.send(request())
-    _, first = await endpoint.asked()
-    came = await gate.script.event(RequestArrived)
-    gate.script.to_do = [SendAttempt(came.id, "w1", 9000.0)]
-    gate.gateway.enqueue(TimerFired("hedge"))
-    _, second = await endpoint.asked()
-    second.write(answer(body=b"second"))
-    assert (await client.answer())[2] == b"second"
-    first.write(answer(body=b"first"))
-    outcomes = [await gate.script.event(AttemptEnded) for _ in range(2)]
-    assert [(done.attempt, done.final) for done in outcomes] == [(1, True), (0, True)]
-    client.send(request())
-    _, writer = await endpoint.asked()
-    writer.write(answer(body=b"third"))
-    assert (await client.answer())[2] == b"third"
-
-
-async def test_send_for_an_ended_request_ends_as_not_sent(endpoint, gate, client):
-    gate.script.to_do = [SendAttempt(77, "w1", 100.0)]
-    gate.gateway.enqueue(TimerFired("late"))
-    assert (
-        await gate.script.event(AttemptEnded)
-    ).result is AttemptResult.NOT_SENT and endpoint.connections == 0
+    assert not gateway.open and not gateway.attempts
+
+
+async def test_first_response_of_two_hedged_attempts_is_the_final_answer(
+    endpoint, controller, gateway, client
+):
+    client.send(http_request())
+    _, first = await endpoint.next_request()
+    arrival = await controller.next_event(RequestArrived)
+    controller.pending_actions = [SendAttempt(arrival.id, "w1", 9000.0)]
+    gateway.enqueue(TimerFired("hedge"))
+    _, second = await endpoint.next_request()
+    second.write(http_response(body=b"second"))
+    assert (await client.next_response()).body == b"second"
+    first.write(http_response(body=b"first"))
+    outcomes = [await controller.next_event(AttemptEnded) for _ in range(2)]
+    assert [(outcome.attempt, outcome.final) for outcome in outcomes] == [(1, True), (0, True)]
+    client.send(http_request())
+    _, writer = await endpoint.next_request()
+    writer.write(http_response(body=b"third"))
+    assert (await client.next_response()).body == b"third"
+
+
+async def test_send_for_an_ended_request_ends_as_not_sent(endpoint, controller, gateway, client):
+    controller.pending_actions = [SendAttempt(77, "w1", 100.0)]
+    gateway.enqueue(TimerFired("late"))
+    outcome = await controller.next_event(AttemptEnded)
+    assert outcome.result is AttemptResult.NOT_SENT
+    assert endpoint.connection_count == 0
 
 
 @pytest.mark.scripted_controller(endpoint=None)
-async def test_guard_timer_answers_before_the_deadline(gate, client):
-    status, _, _ = await client.send(request(deadline=60)).answer()
+async def test_guard_timer_answers_before_the_deadline(controller, client):
+    status, _, _ = await client.send(http_request(deadline=60)).next_response()
     assert status == 504
-    came = await gate.script.event(RequestArrived)
-    assert (await gate.script.event(ClientDisconnected)).id == came.id
+    arrival = await controller.next_event(RequestArrived)
+    assert (await controller.next_event(ClientDisconnected)).id == arrival.id
 
 
-async def test_wake_ups_within_one_tick_share_a_turn_and_are_never_early(gate, client):
-    """Seen in a profile of a calm day: timers fired 1723 times in 3686 turns of the module."""
-    gateway, times = gate.gateway, []
+async def test_wake_ups_within_one_tick_share_a_turn_and_are_never_early(gateway, client):
+    times = []
     gateway.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
     gateway.timers = type("Kept", (), {"at": staticmethod(lambda at_ms, call: times.append(at_ms))})
     for after_ms in (0.0, 0.5, 4.0, 4.5):
@@ -73,16 +78,18 @@
     assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
 
-async def test_guard_timer_answers_although_the_controller_fails(gate, client):
-    gate.script.handle = lambda now, events: 1 / 0
-    assert (await client.send(request(deadline=60)).answer())[0] == 504
+async def test_guard_timer_answers_although_the_controller_fails(controller, client):
+    controller.handle = lambda now, events: 1 / 0
+    assert (await client.send(http_request(deadline=60)).next_response()).status == 504
 
 
-async def test_controller_serves_a_request_end_to_end():
-    """The one scenario with the real module: arrival, quota, choice of worker, answer."""
-    async with FakeWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
-        client = await Client().open(gate.port)
-        client.send(request())
-        _, writer = await worker.asked()
-        writer.write(answer())
-        assert (await client.answer())[::2] == (200, b"done")
+async def test_policy_controller_serves_a_request_end_to_end():
+    async with (
+        FakeEndpoint() as endpoint,
+        RunningGateway(known=[endpoint_entry("w1", endpoint.port)]) as running_gateway,
+    ):
+        client = await TestClient().connect(running_gateway.port)
+        client.send(http_request())
+        _, writer = await endpoint.next_request()
+        writer.write(http_response())
+        assert (await client.next_response()).status_and_body == (200, b"done")
--- a/tests/network/test_http_forms.py
+++ b/tests/network/test_http_forms.py
@@ -1,28 +1,26 @@
-"""Tests of network: http forms."""
+"""Tests of unusual but valid forms of HTTP messages."""
 
 import pytest
-from support.fakes import answer, request
+from support.http_messages import http_request, http_response
 
 from gateway.network.clients.connection import MAX_HEAD
 
 
 @pytest.mark.parametrize("blank", [" ", "   "])
 async def test_blanks_around_a_header_value_are_stripped(blank, endpoint, client):
-    """Seen on a day with slow peers: 'X-Tier: basis ' was turned away as no plan, a length as no number."""
-    head, _, body = request(path="/book/1", key="k", body=b"four").decode().partition("\r\n\r\n")
+    head, _, body = http_request(path="/book/1", key="k", body=b"four").decode().partition("\r\n\r\n")
     first, *fields = head.replace(": ", f":{blank}").split("\r\n")
     client.send("\r\n".join([first, *(field + blank for field in fields), "", body]).encode())
-    asked, writer = await endpoint.asked()
-    assert asked.body == b"four" and asked.headers["idempotency-key"] == "k"
+    received, writer = await endpoint.next_request()
+    assert received.body == b"four" and received.headers["idempotency-key"] == "k"
     writer.write(f"HTTP/1.1 200 OK\r\nContent-Length:{blank}2{blank}\r\n\r\nok".encode())
-    assert (await client.answer())[::2] == (200, b"ok")
+    assert (await client.next_response()).status_and_body == (200, b"ok")
 
 
 async def test_rejected_large_message_gets_exactly_one_response(endpoint, client):
-    """Seen there too: behind the 404 of a message longer than a head may be came a 431."""
-    client.send(request(path="/nothing", body=bytes(2 * MAX_HEAD)))
-    assert (await client.answer())[0] == 404
-    client.send(request())
-    _, writer = await endpoint.asked()
-    writer.write(answer())
-    assert (await client.answer())[0] == 200
+    client.send(http_request(path="/nothing", body=bytes(2 * MAX_HEAD)))
+    assert (await client.next_response()).status == 404
+    client.send(http_request())
+    _, writer = await endpoint.next_request()
+    writer.write(http_response())
+    assert (await client.next_response()).status == 200
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -1,35 +1,39 @@
-"""Tests of network: shutdown."""
+"""Tests of a graceful shutdown."""
 
 import asyncio
 import socket
 
 import pytest
-from support.fakes import HOST, FakeWorker, Script, answer, config, entry, request
+from support.addresses import HOST
+from support.configurations import configuration, endpoint_entry
+from support.fake_endpoint import FakeEndpoint
+from support.http_messages import http_request, http_response
+from support.scripted_controller import ScriptedController
 
 from gateway.config import config_from
-from gateway.interface.events import (
-    RequestArrived,
-)
+from gateway.interface.events import RequestArrived
 from gateway.network.gateway import Gateway
 from gateway.network.hot_restart import HotRestart
 
 
 async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
-    async with FakeWorker() as worker:
+    async with FakeEndpoint() as endpoint:
         with socket.create_server((HOST, 0)) as probe:
             port = probe.getsockname()[1]
-        platform = config_from(config(listen_port=port, known=[entry("w1", worker.port)]), {})
-        gateway = Gateway(platform, asyncio.get_running_loop(), Script())
+        platform = config_from(
+            configuration(listen_port=port, known=[endpoint_entry("w1", endpoint.port)]), {}
+        )
+        gateway = Gateway(platform, asyncio.get_running_loop(), ScriptedController())
         gateway.on_endpoint_list(platform.known)
         handover = HotRestart(gateway)
         await handover.find()
         with socket.create_connection((HOST, port), 5) as sock:
-            sock.sendall(request())  # nothing has been accepted: no await since
+            sock.sendall(http_request())  # not accepted yet, because nothing was awaited since
             await handover.close()
             gateway.drain()
             gateway.close_idle()
-            _, writer = await worker.asked()
-            writer.write(answer())
+            _, writer = await endpoint.next_request()
+            writer.write(http_response())
             assert (await asyncio.to_thread(sock.recv, 99)).startswith(b"HTTP/1.1 200")
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection((HOST, port), 5)
@@ -38,10 +42,10 @@
 
 
 @pytest.mark.scripted_controller(endpoint=None)
-async def test_requests_before_a_graceful_shutdown_are_answered_within_it(gate, client):
-    gate.gateway.begin_shutdown(150.0)
-    began = gate.gateway.clock.now()
-    client.send(request(deadline=10_000))
-    came = await gate.script.event(RequestArrived)
-    assert came.deadline_at_ms < began + 150.0
-    assert (await client.answer())[0] == 504 and not gate.gateway.open
+async def test_requests_before_a_graceful_shutdown_are_answered_within_it(controller, gateway, client):
+    gateway.begin_shutdown(150.0)
+    began_ms = gateway.clock.now()
+    client.send(http_request(deadline=10_000))
+    arrival = await controller.next_event(RequestArrived)
+    assert arrival.deadline_at_ms < began_ms + 150.0
+    assert (await client.next_response()).status == 504 and not gateway.open
--- a/tests/network/test_streamed_responses.py
+++ b/tests/network/test_streamed_responses.py
@@ -1,33 +1,31 @@
-"""Tests of network: streamed responses."""
+"""Tests of responses that are forwarded while they are received."""
 
 import asyncio
 
 import pytest
 import pytest_asyncio
-from support.fakes import request
-from support.streaming_scenarios import RawWorker, until
+from support.fake_endpoint import RawEndpoint
+from support.http_messages import http_request
+from support.polling import wait_until
 
-from gateway.interface.events import (
-    AttemptEnded,
-    AttemptResult,
-    RequestArrived,
-    ResponseStarted,
-)
+from gateway.interface.events import AttemptEnded, AttemptResult, RequestArrived, ResponseStarted
 from gateway.network.admin.metrics import FinalStatus
-from gateway.network.upstream import connection as workers
+from gateway.network.upstream import connection as upstream_connection
 
 
 @pytest_asyncio.fixture
 async def endpoint():
-    """An endpoint whose reading and writing the test does itself."""
-    async with RawWorker() as endpoint:
+    """An endpoint that leaves reading and writing to the test."""
+    async with RawEndpoint() as endpoint:
         yield endpoint
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
-async def test_large_response_is_forwarded_before_it_is_complete(framing, endpoint, gate, client):
-    client.send(request())
-    _, _, writer = await endpoint.asked()
+async def test_large_response_is_forwarded_before_it_is_complete(
+    framing, endpoint, controller, gateway, client
+):
+    client.send(http_request())
+    _, _, writer = await endpoint.next_request_head()
     half = bytes(range(256)) * 512
     if framing == "length":
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * len(half)) + half)
@@ -35,72 +33,75 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n" % len(half) + half)
     head = await client.reader.readuntil(b"\r\n\r\n")
     assert (b"chunked" in head) == (framing == "chunks") and b" 200 " in head
-    started = await gate.script.event(ResponseStarted)
-    assert started.attempt == 0 and len(gate.gateway.open) == 1
+    started = await controller.next_event(ResponseStarted)
+    assert started.attempt == 0 and len(gateway.open) == 1
     writer.write(half if framing == "length" else b"\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(half), half))
-    got = b""
-    while framing == "length" and len(got) < 2 * len(half):
-        got += await client.reader.read(1 << 20)
+    received = b""
+    while framing == "length" and len(received) < 2 * len(half):
+        received += await client.reader.read(1 << 20)
     while framing == "chunks":
         size = int(await client.reader.readline(), 16)
-        got += await client.reader.readexactly(size)
+        received += await client.reader.readexactly(size)
         assert await client.reader.readline() == b"\r\n"
         if not size:
             break
-    assert got == 2 * half
-    outcome = await gate.script.event(AttemptEnded)
-    assert outcome.result is AttemptResult.OK and outcome.final and not gate.gateway.open
-    client.send(request())  # the connection stays
-    await gate.script.event(RequestArrived)
+    assert received == 2 * half
+    outcome = await controller.next_event(AttemptEnded)
+    assert outcome.result is AttemptResult.OK and outcome.final and not gateway.open
+    client.send(http_request())  # on the same connection
+    await controller.next_event(RequestArrived)
 
 
-async def test_broken_streamed_response_is_visibly_truncated_and_not_retried(endpoint, gate, client):
-    client.send(request())
-    _, _, writer = await endpoint.asked()
+async def test_broken_streamed_response_is_visibly_truncated_and_not_retried(
+    endpoint, controller, gateway, client
+):
+    client.send(http_request())
+    _, _, writer = await endpoint.next_request_head()
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + bytes(100_000))
     await client.reader.readuntil(b"\r\n\r\n")
-    await gate.script.event(ResponseStarted)
+    await controller.next_event(ResponseStarted)
     writer.transport.abort()
     with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
         await client.reader.readexactly(200_000)
-    outcome = await gate.script.event(AttemptEnded)
+    outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.RESET and outcome.final
-    assert gate.gateway.metrics.operations["look", FinalStatus.FAULTED] == 1
+    assert gateway.metrics.operations["look", FinalStatus.FAULTED] == 1
 
 
 async def test_response_without_length_ends_with_its_connection(endpoint, client):
-    """Seen on a day with slow peers: it was taken for a reset."""
-    client.send(request())
-    _, _, writer = await endpoint.asked()
+    client.send(http_request())
+    _, _, writer = await endpoint.next_request_head()
     writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall there is")
     writer.close()
-    assert (await client.answer())[::2] == (200, b"all there is")
+    assert (await client.next_response()).status_and_body == (200, b"all there is")
 
 
-async def test_client_that_does_not_read_pauses_its_endpoint(endpoint, gate, client):
+async def test_client_that_does_not_read_pauses_its_endpoint(endpoint, controller, gateway, client):
     client.reader._transport.pause_reading()
-    client.send(request())
-    _, _, writer = await endpoint.asked()
+    client.send(http_request())
+    _, _, writer = await endpoint.next_request_head()
     total = 32 * 1024 * 1024
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % total + bytes(total))
-    await gate.script.event(ResponseStarted)
-    (one,) = gate.gateway.connections.all
-    await until(lambda: not one.response_source.transport.is_reading())
-    assert one.transport.get_write_buffer_size() < 1024 * 1024
+    await controller.next_event(ResponseStarted)
+    (connection,) = gateway.connections.all
+    await wait_until(lambda: not connection.response_source.transport.is_reading())
+    assert connection.transport.get_write_buffer_size() < 1024 * 1024
     client.reader._transport.resume_reading()
     await client.reader.readuntil(b"\r\n\r\n")
     left = total
     while left:
         left -= len(await client.reader.read(1 << 20))
-    assert (await gate.script.event(AttemptEnded)).result is AttemptResult.OK
+    assert (await controller.next_event(AttemptEnded)).result is AttemptResult.OK
 
 
-async def test_stalled_response_is_ended(monkeypatch, endpoint, gate, client):
-    client.send(request())
-    _, _, writer = await endpoint.asked()
+async def test_stalled_response_is_ended(monkeypatch, endpoint, controller, gateway, client):
+    client.send(http_request())
+    _, _, writer = await endpoint.next_request_head()
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + bytes(100_000))
-    await gate.script.event(ResponseStarted)
-    monkeypatch.setattr(workers, "STALL_MS", -1.0)
-    gate.gateway.upstreams._sweep()
-    gate.gateway.upstreams._sweep()  # by now nothing has changed since the last look
-    assert (await gate.script.event(AttemptEnded)).result is AttemptResult.RESET and not gate.gateway.open
+    await controller.next_event(ResponseStarted)
+    monkeypatch.setattr(upstream_connection, "STALL_MS", -1.0)
+    gateway.upstreams._sweep()
+    gateway.upstreams._sweep()  # nothing has changed since the first sweep
+    outcome = await controller.next_event(AttemptEnded)
+    assert outcome.result is AttemptResult.RESET
+    assert not gateway.open
--- a/tests/network/upstream/test_responses.py
+++ b/tests/network/upstream/test_responses.py
@@ -1,29 +1,30 @@
-"""Tests of upstream: responses."""
+"""Tests of the responses of endpoints, and of the results that attempts have by them."""
 
 import asyncio
 import socket
 import struct
 
 import pytest
-from support.fakes import HOST, Gate, Script, answer, entry, request
+from support.addresses import HOST
+from support.configurations import endpoint_entry
+from support.http_messages import http_request, http_response
+from support.running_gateway import RunningGateway
+from support.scripted_controller import ScriptedController
 
-from gateway.interface.events import (
-    AttemptEnded,
-    AttemptResult,
-)
+from gateway.interface.events import AttemptEnded, AttemptResult
 from gateway.network.upstream.connection import MAX_BODY
 
 
 @pytest.mark.parametrize(
     ("reply", "result"),
     [
-        (answer(500), AttemptResult.ERROR),
-        (answer(503), AttemptResult.ERROR),
-        (answer(504), AttemptResult.ERROR),
-        (answer(429), AttemptResult.ERROR),
-        (answer(503, extra="X-Not-Run: 1\r\n"), AttemptResult.OVERLOADED),
-        (answer(504, extra="X-Not-Run: 1\r\n"), AttemptResult.OVERLOADED),
-        (answer(500, extra="X-Not-Run: 1\r\n"), AttemptResult.ERROR),
+        (http_response(500), AttemptResult.ERROR),
+        (http_response(503), AttemptResult.ERROR),
+        (http_response(504), AttemptResult.ERROR),
+        (http_response(429), AttemptResult.ERROR),
+        (http_response(503, extra="X-Not-Run: 1\r\n"), AttemptResult.OVERLOADED),
+        (http_response(504, extra="X-Not-Run: 1\r\n"), AttemptResult.OVERLOADED),
+        (http_response(500, extra="X-Not-Run: 1\r\n"), AttemptResult.ERROR),
         (b"what is this\r\n\r\n", AttemptResult.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nhalf" % (MAX_BODY + 1), AttemptResult.ERROR),
         (None, AttemptResult.RESET),
@@ -31,46 +32,49 @@
     ],
 )
 async def test_endpoint_response_maps_to_its_attempt_result_and_is_not_forwarded(
-    reply, result, endpoint, gate, client
+    reply, result, endpoint, controller, client
 ):
-    client.send(request())
-    _, writer = await endpoint.asked()
+    client.send(http_request())
+    _, writer = await endpoint.next_request()
     if reply is not None:
         writer.write(reply)
     if result is AttemptResult.RESET:
         writer.close()
-    status, _, body = await client.answer()
-    assert (status, body) == (502, b"")  # as the script has it
-    assert (await gate.script.event(AttemptEnded)).result is result
+    status, _, body = await client.next_response()
+    assert (status, body) == (502, b"")  # from the scripted controller
+    assert (await controller.next_event(AttemptEnded)).result is result
 
 
-@pytest.mark.parametrize("ends", ["in order", "reset"])
+@pytest.mark.parametrize("end", ["in order", "reset"])
 @pytest.mark.parametrize("size", [6, 40_000])
-async def test_response_without_length_that_is_reset_is_incomplete(size, ends):
-    """Seen on split+brink of brevik-ferries, seed 55: answered with 200 and what had come of the answer."""
+async def test_response_without_length_that_is_reset_is_incomplete(size, end):
     loop = asyncio.get_running_loop()
     with socket.create_server((HOST, 0)) as server:
         server.setblocking(False)
-        async with Gate(Script(), known=[entry("w1", server.getsockname()[1])]) as gate:
-            client = await gate.client()
-            client.send(request())
+        async with RunningGateway(
+            ScriptedController(), known=[endpoint_entry("w1", server.getsockname()[1])]
+        ) as running_gateway:
+            client = await running_gateway.connect()
+            client.send(http_request())
             sock, _ = await loop.sock_accept(server)
             await loop.sock_recv(sock, 4096)
-            # All before the loop looks again: the bytes, and behind them how the connection ends.
+            # The bytes and the end of the connection are there before the event loop reads either.
             sock.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * size)
-            if ends == "reset":
+            if end == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock.close()
-            told = await client.answer()
-            done = await gate.script.event(AttemptEnded)
-            if ends == "in order":
-                assert (told[0], told[2], done.result) == (200, b"x" * size, AttemptResult.OK)
+            response = await client.next_response()
+            outcome = await running_gateway.controller.next_event(AttemptEnded)
+            if end == "in order":
+                assert response.status_and_body == (200, b"x" * size)
+                assert outcome.result is AttemptResult.OK
             else:
-                assert done.result is AttemptResult.RESET and (told is None or told[0] == 502)
+                assert outcome.result is AttemptResult.RESET
+                assert response is None or response.status == 502
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone",
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
@@ -84,7 +88,7 @@
     ids=[
         "two lengths",
         "length and chunks",
-        "below nothing",
+        "negative length",
         "3 GB",
         "chunks",
         "1xx",
@@ -92,36 +96,38 @@
         "upgrade",
     ],
 )
-async def test_malformed_response_fails_the_attempt_and_closes_the_connection(spoilt, endpoint, gate, client):
-    client.send(request())
-    _, writer = await endpoint.asked()
-    writer.write(spoilt)
-    outcome = asyncio.ensure_future(gate.script.event(AttemptEnded))
-    while not outcome.done():  # an answer of 1xx without end goes on coming
-        if spoilt.startswith(b"HTTP/1.1 10") and not writer.is_closing():
-            writer.write(spoilt)
+async def test_malformed_response_fails_the_attempt_and_closes_the_connection(
+    malformed, endpoint, controller, client
+):
+    client.send(http_request())
+    _, writer = await endpoint.next_request()
+    writer.write(malformed)
+    outcome = asyncio.ensure_future(controller.next_event(AttemptEnded))
+    while not outcome.done():  # interim responses go on without end
+        if malformed.startswith(b"HTTP/1.1 10") and not writer.is_closing():
+            writer.write(malformed)
         await asyncio.sleep(0)
     assert outcome.result().result is AttemptResult.ERROR
-    assert (await client.answer())[0] == 502
-    assert (await endpoint.asked())[0] is None
+    assert (await client.next_response()).status == 502
+    assert (await endpoint.next_request()).is_disconnect
 
 
-async def test_bytes_behind_a_complete_response_do_not_change_it(endpoint, gate, client):
-    client.send(request())
-    _, writer = await endpoint.asked()
+async def test_bytes_behind_a_complete_response_do_not_change_it(endpoint, controller, client):
+    client.send(http_request())
+    _, writer = await endpoint.next_request()
     load = 'X-Load: {"util":0.5,"latency_ms":7}\r\n'
-    writer.write(answer(extra=load) + answer(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
-    assert (await client.answer())[::2] == (200, b"done")
-    outcome = await gate.script.event(AttemptEnded)
+    writer.write(http_response(extra=load) + http_response(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
+    assert (await client.next_response()).status_and_body == (200, b"done")
+    outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.OK and outcome.load == (0.5, 7.0)
-    assert (await endpoint.asked())[0] is None
+    assert (await endpoint.next_request()).is_disconnect
 
 
 async def test_interim_response_is_not_the_final_response(endpoint, client):
-    client.send(request())
-    _, writer = await endpoint.asked()
-    writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + answer(body=b"real"))
-    assert (await client.answer())[::2] == (200, b"real")
+    client.send(http_request())
+    _, writer = await endpoint.next_request()
+    writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + http_response(body=b"real"))
+    assert (await client.next_response()).status_and_body == (200, b"real")
 
 
 @pytest.mark.parametrize(
@@ -138,9 +144,9 @@
         '{"util":1e999,"latency_ms":1}',
     ],
 )
-async def test_malformed_load_report_is_ignored(text, endpoint, gate, client):
-    client.send(request())
-    _, writer = await endpoint.asked()
-    writer.write(answer(extra=f"X-Load: {text}\r\n"))
-    assert (await client.answer())[0] == 200
-    assert (await gate.script.event(AttemptEnded)).load == ()
+async def test_malformed_load_report_is_ignored(text, endpoint, controller, client):
+    client.send(http_request())
+    _, writer = await endpoint.next_request()
+    writer.write(http_response(extra=f"X-Load: {text}\r\n"))
+    assert (await client.next_response()).status == 200
+    assert (await controller.next_event(AttemptEnded)).load == ()
--- a/tests/process/test_logging.py
+++ b/tests/process/test_logging.py
@@ -1,4 +1,4 @@
-"""Tests of process: logging."""
+"""Tests of a gateway process whose standard error is not read."""
 
 import asyncio
 import contextlib
@@ -6,14 +6,12 @@
 import select
 import signal
 
-from support.fakes import (
-    Client,
-    answer,
-    request,
-)
-from support.process_scenarios import (
-    with_program,
-)
+import pytest
+from support.client import TestClient
+from support.gateway_steps import complete_request
+
+FILLER = bytes(64 * 1024)
+READ_BYTES = 4096
 
 
 def fill(descriptor):
@@ -21,49 +19,47 @@
     os.set_blocking(descriptor, False)
     with contextlib.suppress(BlockingIOError):
         while True:
-            os.write(descriptor, bytes(64 * 1024))
+            os.write(descriptor, FILLER)
     os.set_blocking(descriptor, True)
 
 
-def test_stalled_log_reader_stops_neither_service_nor_shutdown(tmp_path):
-    """The process stood still in write(2) to its standard error once the pipe was full."""
-    has_unread_input, log = os.pipe()
-    try:
-        fill(log)
+def drain_filler(descriptor):
+    """Read what filled the pipe."""
+    while os.read(descriptor, READ_BYTES) == bytes(READ_BYTES):
+        if not select.select([descriptor], [], [], 0)[0]:
+            return
+
+
+@pytest.fixture
+def full_log_pipe():
+    """The two ends of a full pipe, for reading and writing."""
+    reader, writer = os.pipe()
+    fill(writer)
+    yield reader, writer
+    os.close(reader)
+    os.close(writer)
 
-        async def scenario(process, port, worker, fake, _path):
-            for _ in range(2):  # each logs a line
-                process.send_signal(signal.SIGHUP)
-                client = await Client().open(port)
-                client.send(request())
-                _, writer = await worker.asked()
-                writer.write(answer())
-                assert (await client.answer())[0] == 200
-            process.send_signal(signal.SIGTERM)
-            assert await process.wait() == 0
 
-        with_program(tmp_path, scenario, stderr=log)
-    finally:
-        os.close(has_unread_input)
-        os.close(log)
+@pytest.fixture
+def process_options(full_log_pipe):
+    """The process logs to the full pipe."""
+    return {"stderr": full_log_pipe[1]}
 
 
-def test_records_dropped_for_a_stalled_reader_are_counted(tmp_path):
-    reader, log = os.pipe()
-    try:
-        fill(log)
+async def test_stalled_log_reader_stops_neither_service_nor_shutdown(process, port, endpoint):
+    for _ in range(2):
+        process.send_signal(signal.SIGHUP)  # logs a line
+        await complete_request(endpoint, await TestClient().connect(port))
+    process.send_signal(signal.SIGTERM)
+    assert await process.wait() == 0
 
-        async def scenario(process, port, worker, _fake, _path):
-            loop, said = asyncio.get_running_loop(), b""
-            while os.read(reader, 4096) == bytes(4096):  # all that filled the pipe
-                if not select.select([reader], [], [], 0)[0]:
-                    break
-            process.send_signal(signal.SIGHUP)
-            while b"read anew" not in said:
-                said += await loop.run_in_executor(None, os.read, reader, 4096)
-            assert b" log records were dropped" in said
 
-        with_program(tmp_path, scenario, stderr=log)
-    finally:
-        os.close(reader)
-        os.close(log)
+async def test_records_dropped_for_a_stalled_reader_are_counted(process, full_log_pipe):
+    reader, _ = full_log_pipe
+    loop = asyncio.get_running_loop()
+    output = b""
+    drain_filler(reader)
+    process.send_signal(signal.SIGHUP)
+    while b"read anew" not in output:
+        output += await loop.run_in_executor(None, os.read, reader, READ_BYTES)
+    assert b" log records were dropped" in output
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -1,49 +1,53 @@
-"""Tests of process: start."""
+"""Tests of the start of a gateway process."""
 
 import asyncio
 import json
 
 import pytest
-from support.fakes import (
-    Client,
-    FakeDiscovery,
-    FakeWorker,
-    answer,
-    config,
-    entry,
-    listing,
-    request,
-    told,
-)
-from support.process_scenarios import (
+import pytest_asyncio
+from support.client import TestClient
+from support.configurations import configuration, endpoint_entry, endpoint_list
+from support.fake_endpoint import FakeEndpoint
+from support.gateway_steps import complete_request
+from support.http_messages import http_request, http_response, json_response
+from support.processes import (
+    fleet_configuration,
     free_port,
-    of_a_fleet,
-    start,
-    tell_list,
-    until_up,
-    with_program,
+    kill,
+    send_endpoint_list,
+    start_process,
+    until_ready,
 )
 
+LARGE_FLEET_SIZE = 230  # gateways
+MAX_START_S = 10.0  # from the start of the process to its readiness
+MAX_UPDATE_S = 6.0  # from discovery's return to the use of a new list
+
+
+@pytest_asyncio.fixture
+async def replacement():
+    """An endpoint that discovery lists later, as w2."""
+    async with FakeEndpoint() as endpoint:
+        yield endpoint
 
-def test_killed_process_restarts_at_the_same_address(tmp_path):
-    async def scenario(process, port, worker, fake, path):
-        client = await Client().open(port)
-        client.send(request())
-        await worker.asked()
-        process.kill()
-        await process.wait()
-        again = await start(path)
-        try:
-            while (await fake.called())[0] != "/discovery/hosts":
-                pass  # the first one's watch
-            # The call of the second is the last one taken; it gives up silence and calls once more.
-            await tell_list(fake, entry("w1", worker.port))
-            await until_up(port)
-        finally:
-            again.kill()
-            await again.wait()
 
-    with_program(tmp_path, scenario)
+async def test_killed_process_restarts_at_the_same_address(
+    process, config_path, port, endpoint, discovery_service
+):
+    client = await TestClient().connect(port)
+    client.send(http_request())
+    await endpoint.next_request()
+    process.kill()
+    await process.wait()
+    successor = await start_process(config_path)
+    try:
+        while (await discovery_service.next_call()).target != "/discovery/hosts":
+            pass  # the watch of the killed process
+        # The successor's first call has been taken without a response; it times out and calls again.
+        await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
+        await until_ready(port)
+    finally:
+        await kill(successor)
 
 
 @pytest.mark.parametrize(
@@ -54,68 +58,71 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    process = await start(path)
-    _, said = await process.communicate()
-    assert process.returncode == 2 and said.count(b"\n") == 1 and name.encode() in said
-
-
-async def test_silent_discovery_does_not_prevent_a_start_with_the_configured_list(tmp_path):
-    async with FakeDiscovery() as fake, FakeWorker() as worker:
-        port = free_port()
-        path = tmp_path / "config.json"
-        path.write_text(json.dumps(config(fake.port, port, known=[entry("w1", worker.port)])))
-        process = await start(path)
-        try:
-            await until_up(port)
-            client = await Client().open(port)
-            client.send(request())
-            _, writer = await worker.asked()
-            writer.write(answer())
-            assert (await client.answer())[0] == 200
-        finally:
-            process.kill()
-            await process.wait()
+    process = await start_process(path)
+    _, output = await process.communicate()
+    assert process.returncode == 2 and output.count(b"\n") == 1 and name.encode() in output
+
+
+async def test_silent_discovery_does_not_prevent_a_start_with_the_configured_list(
+    config_path, port, endpoint, discovery_service
+):
+    known = [endpoint_entry("w1", endpoint.port)]
+    config_path.write_text(json.dumps(configuration(discovery_service.port, port, known=known)))
+    process = await start_process(config_path)
+    try:
+        await until_ready(port)
+        await complete_request(endpoint, await TestClient().connect(port))
+    finally:
+        await kill(process)
+
+
+async def fail_each_call(discovery_service, fault):
+    """Answer every call with 503, or abort its connection."""
+    while True:
+        _, writer = await discovery_service.next_call()
+        if fault == "overloaded":
+            writer.write(http_response(503))
+        else:
+            writer.transport.abort()
+
+
+async def replace_endpoint(discovery_service, endpoint, replacement):
+    """Answer calls with a change from one endpoint to the other until the process knows it."""
+    change = endpoint_list(
+        endpoint_entry("w1", endpoint.port, "gone"),
+        endpoint_entry("w2", replacement.port),
+        index=2,
+        snapshot=False,
+    )
+    while True:
+        target, writer = await discovery_service.next_call()
+        if "since=2&" in target:
+            return
+        writer.write(json_response(change))
 
 
 @pytest.mark.parametrize("discovery", ["automatic", "subscribe"])
-@pytest.mark.parametrize("trouble", ["silent", "down", "turns away", "breaks off"])
-async def test_gateway_of_a_large_fleet_starts_in_time_whatever_discovery_does(tmp_path, trouble, discovery):
-    """Within 10 s, when 230 start at once. News is taken once there is any."""
-    async with FakeDiscovery() as fake, FakeWorker() as worker, FakeWorker() as other:
-
-        async def turn_away():
-            while True:
-                _, writer = await fake.called()
-                writer.write(answer(503)) if trouble == "turns away" else writer.transport.abort()
-
-        turning = asyncio.create_task(turn_away()) if trouble in ("turns away", "breaks off") else None
-        port, path = free_port(), tmp_path / "config.json"
-        value = of_a_fleet(
-            free_port() if trouble == "down" else fake.port, port, 230, known=[entry("w1", worker.port)]
-        )
-        value["settings"]["discovery"] = discovery
-        path.write_text(json.dumps(value))
-        process = await start(path)
-        try:
-            async with asyncio.timeout(10):
-                await until_up(port)
-            client = await Client().open(port)
-            client.send(request())
-            _, writer = await worker.asked()
-            writer.write(answer())
-            assert (await client.answer())[0] == 200
-            if turning:  # it is back
-                turning.cancel()
-                news = listing(
-                    entry("w1", worker.port, "gone"), entry("w2", other.port), index=2, snapshot=False
-                )
-                async with asyncio.timeout(6):
-                    while "since=2&" not in (called := await fake.called())[0]:
-                        called[1].write(told(news))
-                client.send(request())
-                _, writer = await other.asked()
-                writer.write(answer())
-                assert (await client.answer())[0] == 200
-        finally:
-            process.kill()
-            await process.wait()
+@pytest.mark.parametrize("fault", ["silent", "down", "overloaded", "reset"])
+async def test_gateway_of_a_large_fleet_starts_in_time_whatever_discovery_does(
+    fault, discovery, config_path, port, endpoint, replacement, discovery_service
+):
+    is_answering = fault in ("overloaded", "reset")
+    failing = asyncio.create_task(fail_each_call(discovery_service, fault)) if is_answering else None
+    discovery_port = free_port() if fault == "down" else discovery_service.port
+    known = [endpoint_entry("w1", endpoint.port)]
+    value = fleet_configuration(discovery_port, port, LARGE_FLEET_SIZE, known=known)
+    value["settings"]["discovery"] = discovery
+    config_path.write_text(json.dumps(value))
+    process = await start_process(config_path)
+    try:
+        async with asyncio.timeout(MAX_START_S):
+            await until_ready(port)
+        client = await TestClient().connect(port)
+        await complete_request(endpoint, client)
+        if failing:
+            failing.cancel()
+            async with asyncio.timeout(MAX_UPDATE_S):
+                await replace_endpoint(discovery_service, endpoint, replacement)
+            await complete_request(replacement, client)
+    finally:
+        await kill(process)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of simulator: adapter."""
+"""Tests of the adapter to the simulator's wire."""
 
 import json
 import pathlib
--- /dev/null
+++ b/tests/support/gateway_steps.py
@@ -0,0 +1,51 @@
+"""Steps of tests with a running gateway."""
+
+import asyncio
+
+from support.http_messages import http_request, http_response
+
+
+async def complete_request(endpoint, client):
+    """Let a request be answered, and return the writer of its connection at the endpoint."""
+    client.send(http_request())
+    _, writer = await endpoint.next_request()
+    writer.write(http_response())
+    assert (await client.next_response()).status == 200
+    return writer
+
+
+def hold_connections(gateway):
+    """Hold further connections to endpoints back.
+
+    Returns two events: the first is set once a connection is due, the second lets connections be made.
+    """
+    loop = asyncio.get_running_loop()
+    due = asyncio.Event()
+    release = asyncio.Event()
+
+    async def connect_later(factory, host, port):
+        due.set()
+        await release.wait()
+        return await loop.create_connection(factory, host, port)
+
+    gateway.upstreams._loop = type(
+        "Loop",
+        (),
+        {
+            "create_task": staticmethod(loop.create_task),
+            "create_connection": staticmethod(connect_later),
+            "call_soon": staticmethod(loop.call_soon),
+        },
+    )
+    return due, release
+
+
+async def until_connected(gateway, count):
+    """Return once the gateway has accepted this many connections."""
+    while len(gateway.connections) < count:
+        await asyncio.sleep(0)
+
+
+def sweep_after(gateway, ms):
+    """Sweep the connections of clients as if this many ms had passed."""
+    gateway.connections.sweep(gateway.clock.now() + ms, gateway.draining)
--- a/tests/support/recordings.py
+++ b/tests/support/recordings.py
@@ -1,39 +1,37 @@
-"""Support for scenarios of recordings tests."""
+"""Recordings of bytes that must not change between versions."""
 
 import json
 import pathlib
 
-from support.fakes import (
-    Client,
-    request,
-)
+from support.client import TestClient
+from support.http_messages import http_request
 
 FIXTURES = pathlib.Path(__file__).parents[1] / "fixtures"
 
 
-def check(name, value):
-    """The value is what was recorded under this name."""
+def check_recording(name, value):
+    """Check the value against the recording of this name."""
     assert value == (FIXTURES / name).read_bytes(), name
 
 
-def check_json(name, value):
-    """The same of a value that goes out as JSON."""
-    check(name, json.dumps(value, indent=1).encode() + b"\n")
+def check_json_recording(name, value):
+    """Check the same of a value, written as JSON."""
+    check_recording(name, json.dumps(value, indent=1).encode() + b"\n")
 
 
-def changed(old, new, **more):
-    """A request with a part of its head replaced."""
-    data = request("00000000000000e1", **more)
+def modified_request(old, new, **more):
+    """Return a request with a part of it replaced."""
+    data = http_request("00000000000000e1", **more)
     assert old in data
     return data.replace(old, new)
 
 
-BOOK = {"path": "/book/7", "key": "k1", "body": b"body"}
+BOOK_REQUEST = {"path": "/book/7", "key": "k1", "body": b"body"}
 
 
-async def reply_to(port, data):
-    """All bytes that come back, up to the end of the connection or of a head that leaves it open."""
-    client = await Client().open(port)
+async def raw_response(port, data):
+    """Return the bytes of a response, up to the end of the connection or of a head that leaves it open."""
+    client = await TestClient().connect(port)
     client.send(data)
     head = await client.reader.readuntil(b"\r\n\r\n")
     rest = await client.reader.read() if b"Connection: close" in head else b""
--- /dev/null
+++ b/tests/support/running_gateway.py
@@ -0,0 +1,41 @@
+"""A gateway that runs in the test's process."""
+
+import asyncio
+
+from gateway.config import config_from
+from gateway.network.admin.endpoint import AdminEndpoint
+from gateway.network.clients.connection import ClientConnection
+from gateway.network.gateway import Gateway
+from support.addresses import HOST
+from support.client import TestClient
+from support.configurations import configuration
+
+
+class RunningGateway:
+    """A gateway with its client and admin sockets, on ports that the system chooses."""
+
+    def __init__(self, controller=None, **more):
+        self.controller = controller
+        config = config_from(configuration(**more), {})
+        self.gateway = Gateway(config, asyncio.get_running_loop(), controller)
+        self.gateway.on_endpoint_list(config.known)
+        self.server = None
+
+    async def __aenter__(self):
+        self.server = await asyncio.get_running_loop().create_server(
+            lambda: ClientConnection(self.gateway), HOST, 0
+        )
+        self.port = self.server.sockets[0].getsockname()[1]
+        self.admin = AdminEndpoint(self.gateway)
+        await self.admin.open((HOST, 0))
+        self.admin_port = self.admin._server.sockets[0].getsockname()[1]
+        self.gateway.ready = True
+        return self
+
+    async def __aexit__(self, *_):
+        self.server.close()
+        self.admin.close()
+
+    async def connect(self):
+        """Return a connected client."""
+        return await TestClient().connect(self.port)
--- /dev/null
+++ b/tests/support/simulated_watch.py
@@ -0,0 +1,66 @@
+"""The gateway's watch at discovery on a simulated clock."""
+
+import asyncio
+import contextlib
+from typing import NamedTuple
+
+from gateway.config import EndpointList
+from gateway.network.discovery.watch import Discovery
+from support.addresses import HOST
+
+FIRST_INDEX = 41  # of the configured list
+UNCHANGED = EndpointList(FIRST_INDEX, False, ())
+
+
+class CallOutcome(NamedTuple):
+    """What a call comes to, a list or an error, and how long it takes."""
+
+    result: EndpointList | Exception
+    duration_s: float
+
+
+class SimulatedWatch:
+    """A gateway's calls at a discovery service that a function stands for.
+
+    The function takes the time and the call's timeout in seconds, and returns a `CallOutcome`. The watch
+    ends with the first success after the first call.
+    """
+
+    def __init__(self, respond):
+        self.respond = respond
+        self.now_s = 0.0
+        self.began_s = []  # of all calls
+        self.succeeded_s = []  # ends of the successful calls
+
+    def time(self):
+        return self.now_s
+
+    async def sleep(self, seconds):
+        self.now_s += seconds
+
+    async def call(self, _target, timeout_s):
+        self.began_s.append(self.now_s)
+        outcome = self.respond(self.now_s, timeout_s)
+        self.now_s += outcome.duration_s
+        if isinstance(outcome.result, Exception):
+            raise outcome.result
+        self.succeeded_s.append(self.now_s)
+        if len(self.succeeded_s) == 2:
+            raise asyncio.CancelledError
+        return outcome.result
+
+    async def run(self, monkeypatch, **options):
+        discovery = Discovery((HOST, 9), print, FIRST_INDEX, **options)
+        discovery._call = self.call
+        with monkeypatch.context() as patch:
+            patch.setattr("gateway.network.discovery.watch.asyncio.sleep", self.sleep)
+            patch.setattr("gateway.network.discovery.watch.asyncio.get_running_loop", lambda: self)
+            with contextlib.suppress(asyncio.CancelledError):
+                await discovery._watch()
+
+
+def simulate_watch(monkeypatch, respond, **options):
+    """Run a watch with these options of `Discovery`, and return it when it has ended."""
+    watch = SimulatedWatch(respond)
+    asyncio.run(watch.run(monkeypatch, **options))
+    return watch
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,14 +1,13 @@
-"""Tests of config."""
+"""Tests of configurations and endpoint lists in the platform's format."""
 
 import json
 
 import pytest
-from support.fakes import HOST, config, entry, listing
+from support.addresses import HOST
+from support.configurations import configuration, endpoint_entry, endpoint_list
 
 from gateway.config import config_from, endpoint_list_from
-from gateway.interface.events import (
-    EndpointState,
-)
+from gateway.interface.events import EndpointState
 
 
 @pytest.mark.parametrize(
@@ -24,15 +23,15 @@
     ],
 )
 def test_malformed_configuration_is_reported_by_its_path(change, name):
-    value = config()
+    value = configuration()
     value.update(change)
-    with pytest.raises(ValueError, match="config") as told:
+    with pytest.raises(ValueError, match="config") as error:
         config_from(json.loads(json.dumps(value)), {})
-    assert name in str(told.value)
+    assert name in str(error.value)
 
 
 def test_environment_supplies_what_the_file_lacks():
-    value = config()
+    value = configuration()
     del value["name"], value["listen"], value["discovery"]
     made = config_from(
         value, {"BALANCER_NAME": "n7", "BALANCER_LISTEN": f"{HOST}:5", "BALANCER_DISCOVERY": f"{HOST}:6"}
@@ -41,10 +40,12 @@
 
 
 def test_endpoint_list_in_discoverys_format_is_read():
-    news = endpoint_list_from(listing(entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list")
-    server = news.entries[0].endpoint
-    assert (news.index, news.is_snapshot, news.entries[0].address) == (41, False, (HOST, 5000))
-    assert (server.id, server.zone, server.state, server.started_ms) == (
+    received = endpoint_list_from(
+        endpoint_list(endpoint_entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list"
+    )
+    endpoint = received.entries[0].endpoint
+    assert (received.index, received.is_snapshot, received.entries[0].address) == (41, False, (HOST, 5000))
+    assert (endpoint.id, endpoint.zone, endpoint.state, endpoint.started_ms) == (
         "w1",
         "a",
         EndpointState.DRAINING,
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -1,4 +1,4 @@
-"""Limits that the project has set itself."""
+"""Tests of the repository: sizes, imports, packages and listed files."""
 
 import ast
 import pathlib
@@ -14,7 +14,7 @@
 
 
 def test_size_limits():
-    for path in ROOT.glob("gateway/**/*.py"):  # one file of 800 held most of the decisions before
+    for path in ROOT.glob("gateway/**/*.py"):
         assert filled_lines(path) <= 600, path
     for path in [*ROOT.glob("gateway/**/*.py"), *ROOT.glob("tests/**/*.py")]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
@@ -30,7 +30,6 @@
 
 
 def test_the_decisions_need_the_standard_library_only():
-    """And nothing of the network code, whatever they import."""
     for package in PURE:
         for path in ROOT.glob(f"gateway/{package}/**/*.py"):
             for node in ast.walk(ast.parse(path.read_text())):
@@ -56,7 +55,6 @@
 
 
 def test_all_packages_belong_to_the_distribution():
-    """The engine's was left out when it came, and an installed gateway would not have found it."""
     listed = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["setuptools"]["packages"]
     found = [path.parent.relative_to(ROOT) for path in ROOT.glob("gateway/**/__init__.py")]
     assert sorted(listed) == sorted(".".join(path.parts) for path in found)
