--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -1,70 +1,106 @@
-"""Tests of gossip: codec."""
+"""Tests of the datagrams between gateways, and of the handling of malformed ones."""
 
 import pytest
-from support.policy_scenarios import SIX_ENDPOINTS, ask, gateway, item, of, outcome
+from hypothesis import example, given, settings
+from hypothesis import strategies as st
+from support.policy_events import SIX_ENDPOINTS, arrival, attempt_ended, new_controller, quota_entry, sends_in
 
-from gateway.gossip import codec as messages
-from gateway.interface.actions import (
-    SendAttempt,
-)
-from gateway.interface.events import (
-    AttemptResult,
-    GossipReceived,
-)
+from gateway.gossip import codec
+from gateway.gossip.codec import EntryKind
+from gateway.interface.events import AttemptResult, GossipReceived
 from gateway.interface.settings import Idempotency, RequestClass
 
+MAX_UINT16 = 0xFFFF
+HUNDRED_ENTRIES = [quota_entry(EntryKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 16, 3) for n in range(100)]
+RATIOS = (0.01, 1.0, 2.0, float("inf"))
+FOUR_OBSERVATIONS = [codec.observe(f"s{n}", n, ratio) for n, ratio in enumerate(RATIOS)]
+
+sixteenths = st.integers(0, MAX_UINT16).map(lambda number: number / 16)  # exact on the wire
+indexes = st.integers(0, codec.MAX_INDEXES - 1)
+entries = st.builds(
+    codec.QuotaEntry,
+    st.sampled_from(EntryKind),
+    st.integers(0, 0xFFFFFFFF),
+    st.integers(0, MAX_UINT16),
+    sixteenths,
+    sixteenths,
+    indexes,
+    indexes,
+)
+observations = st.builds(codec.EndpointObservation, st.integers(0, MAX_UINT16), indexes, st.integers(0, 15))
+
 
 def test_unreadable_datagrams_change_nothing():
-    c = gateway()
-    c.handle(1000, [SIX_ENDPOINTS])
-    good = messages.encode(5, 1.0, [item(messages.EntryKind.USED, units=4)], [])
+    controller = new_controller()
+    controller.handle(1000, [SIX_ENDPOINTS])
+    good = codec.encode(5, 1.0, [quota_entry(EntryKind.USED, units=4)], [])
     odd = [
-        messages.encode(5, 1.0, [item(messages.EntryKind.USED, class_index=15)], []),
-        messages.encode(5, 1.0, [item(messages.EntryKind.REQUEST, plan_index=15)], []),
-        messages.encode(5, 1.0, [item(messages.EntryKind.GRANT), item(messages.EntryKind.QUEUED)], []),
-        messages.encode(5, 1.0, [], [messages.EndpointObservation(77, 15, 15)]),
+        codec.encode(5, 1.0, [quota_entry(EntryKind.USED, class_index=15)], []),
+        codec.encode(5, 1.0, [quota_entry(EntryKind.REQUEST, plan_index=15)], []),
+        codec.encode(5, 1.0, [quota_entry(EntryKind.GRANT), quota_entry(EntryKind.QUEUED)], []),
+        codec.encode(5, 1.0, [], [codec.EndpointObservation(77, 15, 15)]),
     ]
     bad_kind = bytearray(good)
     bad_kind[6] = 99
     for data in (b"", b"\x00", good[:-1], b"\xff" + good[1:], bytes(300), bytes(bad_kind), *odd):
-        assert not of(SendAttempt, c.handle(1001, [GossipReceived(1, data)]))
-    c.handle(1001, [GossipReceived(9, good), GossipReceived(0, good)])
-    assert not c.flow.leader.buckets and not c.flow.open
-    c.handle(1001, [GossipReceived(1, good), GossipReceived(1, good)])  # repeated: counted once
-    assert c.flow.leader.buckets[item(messages.EntryKind.REQUEST).bucket_name].level == pytest.approx(
-        12 - 4, abs=0.1
-    )
-
-
-def test_messages_survive_a_round_trip_within_the_size_limit():
-    items = [item(messages.EntryKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 16, 3) for n in range(100)]
-    ratios = (0.01, 1.0, 2.0, float("inf"))
-    sightings = [messages.observe(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
-    data = messages.encode(70000, 1.5, items, sightings)
-    news = messages.decode(data)
-    assert (
-        len(data) <= messages.MAX_BYTES
-        and news.incarnation == 70000 & 0xFFFF
-        and news.target_concurrency == 1.5
-    )
-    assert news.entries == tuple(items[: messages.MAX_ENTRIES]) and news.observations == tuple(sightings)
-    assert [messages.latency_ratio_of(seen) for seen in news.observations] == [0.25, 1.0, 2.0, float("inf")]
+        assert not sends_in(controller.handle(1001, [GossipReceived(1, data)]))
+    controller.handle(1001, [GossipReceived(9, good), GossipReceived(0, good)])
+    assert not controller.flow.leader.buckets and not controller.flow.open
+    controller.handle(1001, [GossipReceived(1, good), GossipReceived(1, good)])  # a duplicate counts once
+    bucket = controller.flow.leader.buckets[quota_entry(EntryKind.REQUEST).bucket_name]
+    assert bucket.level == pytest.approx(12 - 4, abs=0.1)
+
+
+@given(
+    data=st.binary(max_size=codec.MAX_BYTES + 1)
+    | st.binary(max_size=codec.MAX_BYTES - 1).map(b"\x02".__add__)
+)
+@settings(deadline=None)
+def test_any_bytes_are_decoded_to_a_message_or_to_nothing(data):
+    message = codec.decode(data)
+    if message is not None:
+        again = codec.encode(message.incarnation, message.target_concurrency, message.entries, [])
+        assert codec.decode(again).entries == message.entries[: codec.MAX_ENTRIES]
+
+
+@given(
+    incarnation=st.integers(0, 1 << 20),
+    sent_entries=st.lists(entries, max_size=30),
+    sent_observations=st.lists(observations, max_size=6),
+)
+@example(incarnation=70000, sent_entries=HUNDRED_ENTRIES, sent_observations=FOUR_OBSERVATIONS)
+@settings(deadline=None)
+def test_messages_survive_a_round_trip_within_the_size_limit(incarnation, sent_entries, sent_observations):
+    data = codec.encode(incarnation, 1.5, sent_entries, sent_observations)
+    message = codec.decode(data)
+    assert len(data) <= codec.MAX_BYTES
+    assert message.incarnation == incarnation & MAX_UINT16 and message.target_concurrency == 1.5
+    assert message.entries == tuple(sent_entries[: codec.MAX_ENTRIES])
+    assert message.observations == tuple(sent_observations[: codec.MAX_OBSERVATIONS])
+
+
+def test_observations_hold_latency_ratios_within_their_range():
+    message = codec.decode(codec.encode(1, 1.0, [], FOUR_OBSERVATIONS))
+    ratios = [codec.latency_ratio_of(observation) for observation in message.observations]
+    assert ratios == [0.25, 1.0, 2.0, float("inf")]
 
 
 def test_values_out_of_range_are_left_out_of_a_message():
-    """The 17th class raised for the whole turn, and all its sends were lost."""
-    item = messages.QuotaEntry(messages.EntryKind.REQUEST, 7, 3, 1.0, 2.0, 1, 2)
-    seen = messages.observe("s", 16, 1.0), messages.observe("s", 15, 1.0)
-    news = messages.decode(
-        messages.encode(
-            1, 1.0, [item._replace(class_index=16), item, item._replace(plan_index=16)], list(seen)
-        )
-    )
-    assert news.entries == (item,) and [one.class_index for one in news.observations] == [15]
-    kinds = tuple(RequestClass(f"k{n}", 600, 1500, 2, Idempotency.IDEMPOTENT) for n in range(20))
-    c = gateway(classes=kinds)
-    c.handle(1000, [SIX_ENDPOINTS])
+    """A datagram has room for the indexes of 16 classes and 16 plans."""
+    entry = codec.QuotaEntry(EntryKind.REQUEST, 7, 3, 1.0, 2.0, 1, 2)
+    sent_entries = [entry._replace(class_index=16), entry, entry._replace(plan_index=16)]
+    sent_observations = [codec.observe("s", 16, 1.0), codec.observe("s", 15, 1.0)]
+    message = codec.decode(codec.encode(1, 1.0, sent_entries, sent_observations))
+    assert message.entries == (entry,)
+    assert [observation.class_index for observation in message.observations] == [15]
+
+
+def test_controller_with_more_classes_than_a_message_holds_serves_all():
+    classes = tuple(RequestClass(f"k{n}", 600, 1500, 2, Idempotency.IDEMPOTENT) for n in range(20))
+    controller = new_controller(classes=classes)
+    controller.handle(1000, [SIX_ENDPOINTS])
     for turn in range(1, 40):
-        actions = c.handle(1000 + 4 * turn, [ask(turn, f"k{turn % 20}", customer=f"{turn:016x}")])
-        c.handle(1002 + 4 * turn, [outcome(send, AttemptResult.OK) for send in of(SendAttempt, actions)])
-    assert not c.errors
+        now = 1000 + 4 * turn
+        actions = controller.handle(now, [arrival(turn, f"k{turn % 20}", customer=f"{turn:016x}")])
+        controller.handle(now + 2, [attempt_ended(send, AttemptResult.OK) for send in sends_in(actions)])
+    assert not controller.errors
--- a/tests/interface/test_settings_reader.py
+++ b/tests/interface/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Tests of interface: settings reader."""
+"""Tests of the checks of settings, plans and classes."""
 
 import pytest
 from support.policy_settings import settings
--- a/tests/policy/dispatch/test_concurrency_limit.py
+++ b/tests/policy/dispatch/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Tests of dispatch: concurrency limit."""
+"""Tests of the limit of attempts in flight."""
 
 import random
 
@@ -9,16 +9,17 @@
 from gateway.policy.dispatch.concurrency_limit import ConcurrencyLimiter
 
 
-def limiter(gateways):
-    """A concurrency limiter, and the turn that has its time."""
+def new_limiter(gateways):
+    """Return the concurrency limiter of a gateway in such a fleet, and the turn that holds its time."""
     context = PolicyContext(settings(gateways=gateways), 1)
     return ConcurrencyLimiter(context), context.turn
 
 
 def test_concurrency_limit_is_divided_over_gateways():
-    (few, few_turn), (many, many_turn) = limiter(1), limiter(10)
-    for window in (few, many):
-        window.step(20)
+    few, few_turn = new_limiter(1)
+    many, many_turn = new_limiter(10)
+    few.step(20)
+    many.step(20)
     assert few.limit > 5 * many.limit
     few.on_answered(1000)
     many.on_answered(1000)
@@ -29,31 +30,39 @@
 
 
 def test_limit_below_one_permits_random_but_not_steady_excess():
-    """At one request a second a count scatters: held to its mean, much would wait for nothing."""
-    window, turn = limiter(400)
-    window.step(40)
-    assert window.limit < 2 <= window.available()
-    window.count(3)
-    for now in range(100, 3000, 100):
-        turn.now_ms = now
-        window.step(40)
-    assert window.available() < 0
+    limiter, turn = new_limiter(400)
+    limiter.step(40)
+    assert limiter.limit < 2 <= limiter.available()
+    limiter.count(3)
+    for now_ms in range(100, 3000, 100):
+        turn.now_ms = now_ms
+        limiter.step(40)
+    assert limiter.available() < 0
+
+
+def poisson(rng, mean):
+    """Return a random count whose standard deviation is the root of its mean."""
+    count = 0
+    elapsed = rng.expovariate(1)
+    while elapsed < mean:
+        count += 1
+        elapsed += rng.expovariate(1)
+    return count
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40])
 def test_variance_of_a_small_share_does_not_hold_back_more_than_the_fleets(gateways):
-    """Seen in a fleet of 40 gateways and 60 servers: a part of 6 was full while the fleet's cap was not.
-    Drawn here: counts of a fleet at four fifths of its cap of 240, evenly spread, and how many lack room."""
-    (window, _), rng, full = limiter(gateways), random.Random(5), 0
-    window.step(60)
-    window.limit = 240 / gateways
-    window.in_flight.mean = 0.8 * window.limit
+    """A fleet at four fifths of its limit of 240 seldom fills one gateway's share of it by chance."""
+    limiter, _ = new_limiter(gateways)
+    rng = random.Random(5)
+    limiter.step(60)
+    limiter.limit = 240 / gateways
+    limiter.in_flight.mean = 0.8 * limiter.limit
+    full = 0
     for _ in range(4000):
-        window.in_flight.value, gone = 0, rng.expovariate(1)
-        while gone < window.in_flight.mean:  # a count that scatters by its root
-            window.in_flight.value, gone = window.in_flight.value + 1, gone + rng.expovariate(1)
-        full += window.available() < 1
+        limiter.in_flight.value = poisson(rng, limiter.in_flight.mean)
+        full += limiter.available() < 1
     assert full <= 0.04 * 4000
-    window.in_flight.value = 0
-    assert window.available() <= window.limit + 2 * window.limit**0.5  # and no more than such scatter
-    assert gateways > 1 or window.available() < window.limit + 2
+    limiter.in_flight.value = 0
+    assert limiter.available() <= limiter.limit + 2 * limiter.limit**0.5
+    assert gateways > 1 or limiter.available() < limiter.limit + 2
--- a/tests/policy/dispatch/test_dispatcher.py
+++ b/tests/policy/dispatch/test_dispatcher.py
@@ -1,22 +1,18 @@
-"""Tests of dispatch: dispatcher."""
+"""Tests of the queue of admitted requests."""
 
-from support.policy_scenarios import SIX_ENDPOINTS, ask, gateway, of, outcome
+from support.policy_events import SIX_ENDPOINTS, arrival, attempt_ended, new_controller, sends_in
 
-from gateway.interface.actions import (
-    SendAttempt,
-)
-from gateway.interface.events import (
-    AttemptResult,
-)
+from gateway.interface.events import AttemptResult
 
 
 def test_queue_is_empty_below_the_limit_and_ordered_by_priority_at_it():
-    c = gateway(gateways=1)
-    c.handle(1000, [SIX_ENDPOINTS])
-    calm = [ask(n, customer=f"c{n}") for n in range(1, 200)]
-    first = of(SendAttempt, c.handle(1001, calm))
-    assert c.flow.attempts.limiter.limit <= len(first) <= c.flow.attempts.limiter.limit + 2
-    assert len(c.flow.dispatcher.queue) == 199 - len(first)
-    c.handle(1002, [ask(500, "feed", customer="a"), ask(501, "book", customer="b")])
-    sent = of(SendAttempt, c.handle(1010, [outcome(send, AttemptResult.OK) for send in first[:3]]))
+    controller = new_controller(gateways=1)
+    controller.handle(1000, [SIX_ENDPOINTS])
+    arrivals = [arrival(n, customer=f"c{n}") for n in range(1, 200)]
+    first = sends_in(controller.handle(1001, arrivals))
+    limit = controller.flow.attempts.limiter.limit
+    assert limit <= len(first) <= limit + 2
+    assert len(controller.flow.dispatcher.queue) == 199 - len(first)
+    controller.handle(1002, [arrival(500, "feed", customer="a"), arrival(501, "book", customer="b")])
+    sent = sends_in(controller.handle(1010, [attempt_ended(send, AttemptResult.OK) for send in first[:3]]))
     assert sent[0].id == 501
--- a/tests/policy/dispatch/test_latency.py
+++ b/tests/policy/dispatch/test_latency.py
@@ -1,15 +1,11 @@
-"""Tests of dispatch: latency."""
+"""Tests of the latencies that are expected of attempts."""
 
-from support.policy_scenarios import SIX_ENDPOINTS, ask, gateway, of
-
-from gateway.interface.actions import (
-    SendAttempt,
-)
+from support.policy_events import SIX_ENDPOINTS, arrival, new_controller, sends_in
 
 
 def test_learned_latency_cannot_exclude_a_class():
-    """Refused on arrival, nothing is answered, so nothing would ever bring the learned time down."""
-    c = gateway()
-    c.handle(1000, [SIX_ENDPOINTS])
-    c.flow.attempts.latencies.expected_ms["look"] = 5000.0
-    assert of(SendAttempt, c.handle(1001, [ask(1)]))
+    """If every request were rejected on arrival, no response would ever lower the expected latency."""
+    controller = new_controller()
+    controller.handle(1000, [SIX_ENDPOINTS])
+    controller.flow.attempts.latencies.expected_ms["look"] = 5000.0
+    assert sends_in(controller.handle(1001, [arrival(1)]))
--- a/tests/policy/endpoints/test_endpoint_table.py
+++ b/tests/policy/endpoints/test_endpoint_table.py
@@ -1,23 +1,15 @@
-"""Tests of endpoints: endpoint table."""
+"""Tests of the records of endpoints."""
 
-from support.policy_scenarios import SIX_ENDPOINTS, ask, gateway, of, outcome
+from support.policy_events import SIX_ENDPOINTS, arrival, attempt_ended, new_controller, sends_in
 
-from gateway.interface.actions import (
-    SendAttempt,
-)
-from gateway.interface.events import (
-    AttemptResult,
-    Endpoint,
-    EndpointState,
-    EndpointUpdate,
-)
+from gateway.interface.events import AttemptResult, Endpoint, EndpointState, EndpointUpdate
 
 
 def test_restarted_endpoint_keeps_its_attempts_in_flight():
-    c = gateway()
-    (send,) = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, ask(1)]))
-    old = c.directory.table.known[send.endpoint].entry
-    back = Endpoint(old.id, old.zone, old.cell, EndpointState.READY, 1.0, 1005.0)
-    c.handle(1010, [EndpointUpdate((back,), is_snapshot=False)])
-    c.handle(1020, [outcome(send, AttemptResult.RESET)])
-    assert c.directory.table.known[send.endpoint].in_flight == 0
+    controller = new_controller()
+    (send,) = sends_in(controller.handle(1000, [SIX_ENDPOINTS, arrival(1)]))
+    old = controller.directory.table.known[send.endpoint].entry
+    restarted = Endpoint(old.id, old.zone, old.cell, EndpointState.READY, 1.0, 1005.0)
+    controller.handle(1010, [EndpointUpdate((restarted,), is_snapshot=False)])
+    controller.handle(1020, [attempt_ended(send, AttemptResult.RESET)])
+    assert controller.directory.table.known[send.endpoint].in_flight == 0
--- a/tests/policy/endpoints/test_outlier_detection.py
+++ b/tests/policy/endpoints/test_outlier_detection.py
@@ -1,71 +1,66 @@
-"""Tests of endpoints: outlier detection."""
+"""Tests of the detection of endpoints that fail or are slow."""
 
-from support.policy_scenarios import SIX_ENDPOINTS, ask, gateway, of, outcome
+import pytest
+from support.policy_events import SIX_ENDPOINTS, arrival, attempt_ended, new_controller, sends_in
 
-from gateway.gossip import codec as messages
-from gateway.interface.actions import (
-    SendAttempt,
-)
-from gateway.interface.events import (
-    AttemptResult,
-    Endpoint,
-    EndpointState,
-    EndpointUpdate,
-    GossipReceived,
-)
+from gateway.gossip import codec
+from gateway.interface.events import AttemptResult, Endpoint, EndpointState, EndpointUpdate, GossipReceived
 
 
 def test_fast_failing_endpoint_does_not_attract_load():
-    c = gateway()
-    now, sent, number = 1000.0, [], 0
-    c.handle(now, [SIX_ENDPOINTS])
-    for _ in range(200):
-        number, now = number + 1, now + 20
-        for send in of(SendAttempt, c.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])):
+    controller = new_controller()
+    controller.handle(1000.0, [SIX_ENDPOINTS])
+    sent = []
+    for number in range(1, 201):
+        now = 1000.0 + 20 * number
+        request = arrival(number, deadline_at_ms=now + 4000, customer=f"c{number}")
+        for send in sends_in(controller.handle(now, [request])):
             sent.append(send.endpoint)
-            result, took = (AttemptResult.ERROR, 2) if send.endpoint == "s1" else (AttemptResult.OK, 90)
-            more = c.handle(now + 5, [outcome(send, result, took=took)])
-            for n, retry in enumerate(of(SendAttempt, more)):
-                c.handle(now + 10, [outcome(retry, AttemptResult.OK, n + 1)])
+            fails = send.endpoint == "s1"
+            result = AttemptResult.ERROR if fails else AttemptResult.OK
+            ended = attempt_ended(send, result, duration_ms=2 if fails else 90)
+            for n, retry in enumerate(sends_in(controller.handle(now + 5, [ended]))):
+                controller.handle(now + 10, [attempt_ended(retry, AttemptResult.OK, n + 1)])
     assert sent.count("s1") < len(sent) / 15
 
 
-def test_refusing_endpoint_draws_no_load_and_does_not_cut_the_limit():
-    """It answers in no time, so it looks idle; and its refusals say nothing of the rest of the fleet."""
-    for result in (AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED):
-        c = gateway()
-        now, sent = 1000.0, []
-        c.handle(now, [SIX_ENDPOINTS])
-        for number in range(1, 300):
-            now += 10
-            sends = of(SendAttempt, c.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")]))
-            while sends:
-                send = sends.pop()
-                sent.append(send.endpoint)
-                bad = send.endpoint == "s2"
-                attempt = c.flow.open[send.id].attempts - 1
-                sends += of(
-                    SendAttempt,
-                    c.handle(now + 2, [outcome(send, result if bad else AttemptResult.OK, attempt)]),
-                )
-        assert sent.count("s2") < len(sent) / 15
-        assert c.flow.attempts.limiter.cut == 1.0
+@pytest.mark.parametrize("result", [AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED])
+def test_refusing_endpoint_draws_no_load_and_does_not_cut_the_limit(result):
+    """Its fast responses look like low load, and say nothing of the other endpoints."""
+    controller = new_controller()
+    controller.handle(1000.0, [SIX_ENDPOINTS])
+    sent = []
+    for number in range(1, 300):
+        now = 1000.0 + 10 * number
+        request = arrival(number, deadline_at_ms=now + 1400, customer=f"c{number}")
+        sends = sends_in(controller.handle(now, [request]))
+        while sends:
+            send = sends.pop()
+            sent.append(send.endpoint)
+            attempt = controller.flow.open[send.id].attempts - 1
+            outcome = result if send.endpoint == "s2" else AttemptResult.OK
+            sends += sends_in(controller.handle(now + 2, [attempt_ended(send, outcome, attempt)]))
+    assert sent.count("s2") < len(sent) / 15
+    assert controller.flow.attempts.limiter.cut == 1.0
 
 
-def test_observation_of_a_shared_tag_affects_neither_endpoint():
-    """Tags have 16 bits: with 200 servers two share one on a quarter of the days, and the good one of them
-    was passed by for the failures of the other."""
-    names: list[str] = []
+def names_with_one_tag():
+    """Return two names of endpoints that have the same tag."""
     by_tag: dict[int, str] = {}
-    while not names:
+    while True:
         name = f"s{len(by_tag)}"
-        other = by_tag.setdefault(messages.endpoint_tag(name), name)
-        names = [other, name] if other != name else []
-    controller = gateway()
-    servers = [Endpoint(name, "z0", 0, EndpointState.READY) for name in (*names, "lone")]
-    controller.handle(0.0, [EndpointUpdate(tuple(servers))])
-    seen = [messages.observe(name, 0, float("inf")) for name in (names[0], "lone")]
-    controller.handle(4.0, [GossipReceived(1, messages.encode(5, 1.0, [], seen))])
+        other = by_tag.setdefault(codec.endpoint_tag(name), name)
+        if other != name:
+            return other, name
+
+
+def test_observation_of_a_shared_tag_affects_neither_endpoint():
+    names = (*names_with_one_tag(), "lone")
+    controller = new_controller()
+    endpoints = tuple(Endpoint(name, "z0", 0, EndpointState.READY) for name in names)
+    controller.handle(0.0, [EndpointUpdate(endpoints)])
+    observed = [codec.observe(name, 0, float("inf")) for name in (names[0], "lone")]
+    controller.handle(4.0, [GossipReceived(1, codec.encode(5, 1.0, [], observed))])
     known = controller.directory.table.known
-    failing = [controller.selector.outliers.failure_share(known[one.id], "look") for one in servers]
+    failing = [controller.selector.outliers.failure_share(known[name], "look") for name in names]
     assert failing[:2] == [0.0, 0.0] and failing[2] > 0
--- a/tests/policy/requests/test_streamed_requests.py
+++ b/tests/policy/requests/test_streamed_requests.py
@@ -1,12 +1,9 @@
-"""Tests of requests: streamed requests."""
+"""Tests of requests whose body is forwarded while it is received."""
 
-from support.policy_scenarios import SIX_ENDPOINTS, gateway
+import pytest
+from support.policy_events import SIX_ENDPOINTS, actions_of, new_controller, sends_in
 
-from gateway.interface.actions import (
-    Fail,
-    Reject,
-    SendAttempt,
-)
+from gateway.interface.actions import Fail, Reject, SendAttempt
 from gateway.interface.events import (
     AttemptEnded,
     AttemptResult,
@@ -17,53 +14,42 @@
 )
 
 
-def large(number, now=0.0):
-    return RequestArrived(number, "c", "look", "open", now + 1500, 1, 0, 3, is_complete=False)
+def incomplete_arrival(request_id):
+    """Return the arrival at time 0 of a request whose body is still being received."""
+    return RequestArrived(request_id, "c", "look", "open", 1500.0, 1, 0, 3, is_complete=False)
 
 
 def test_deadline_of_a_large_request_starts_when_it_is_complete():
-    gate = gateway()
-    first = gate.handle(0.0, [SIX_ENDPOINTS, large(1)])
-    assert [one.id for one in first if isinstance(one, SendAttempt)] == [1]
-    for step in range(1, 1000):  # 4 s, past its first due time, and no second copy of it goes out
-        assert not [
-            one for one in gate.handle(step * 4.0, []) if isinstance(one, SendAttempt | Fail | Reject)
-        ]
-    gate.handle(4000.0, [BodyReleased(1), RequestCompleted(1, 5500.0)])
-    late = [one for step in range(1001, 1400) for one in gate.handle(step * 4.0, [])]
-    assert [type(one) for one in late if isinstance(one, SendAttempt | Fail | Reject)] == [Reject]
-
-
-def test_released_body_is_not_retried():
-    for parted in (False, True):
-        gate = gateway()
-        (send,) = [one for one in gate.handle(0.0, [SIX_ENDPOINTS, large(1)]) if isinstance(one, SendAttempt)]
-        news = [BodyReleased(1)] * parted + [
-            AttemptEnded(1, 0, send.endpoint, 1.0, AttemptResult.CONNECT_FAILED, False)
-        ]
-        after = gate.handle(4.0, news)
-        assert [type(one) for one in after if isinstance(one, SendAttempt | Reject)] == [
-            Reject if parted else SendAttempt
-        ]
+    controller = new_controller()
+    first = controller.handle(0.0, [SIX_ENDPOINTS, incomplete_arrival(1)])
+    assert [send.id for send in sends_in(first)] == [1]
+    for step in range(1, 1000):  # 4 s, which is past its first deadline
+        actions = controller.handle(step * 4.0, [])
+        assert not actions_of(SendAttempt | Fail | Reject, actions)
+    controller.handle(4000.0, [BodyReleased(1), RequestCompleted(1, 5500.0)])
+    late = [action for step in range(1001, 1400) for action in controller.handle(step * 4.0, [])]
+    assert [type(one) for one in actions_of(SendAttempt | Fail | Reject, late)] == [Reject]
+
+
+@pytest.mark.parametrize(("released", "expected"), [(False, SendAttempt), (True, Reject)])
+def test_released_body_is_not_retried(released, expected):
+    controller = new_controller()
+    (send,) = sends_in(controller.handle(0.0, [SIX_ENDPOINTS, incomplete_arrival(1)]))
+    ended = AttemptEnded(1, 0, send.endpoint, 1.0, AttemptResult.CONNECT_FAILED, False)
+    actions = controller.handle(4.0, [BodyReleased(1), ended] if released else [ended])
+    assert [type(one) for one in actions_of(SendAttempt | Reject, actions)] == [expected]
 
 
 def test_transfer_takes_no_capacity_while_no_endpoint_executes_it():
-    """Seen on a day with large bodies: slow clients filled the window, and half of the quota was refused."""
-    gate = gateway()
-    (send,) = [one for one in gate.handle(0.0, [SIX_ENDPOINTS, large(1)]) if isinstance(one, SendAttempt)]
-    assert gate.flow.attempts.limiter.in_flight.value == 0 and not any(
-        known.in_flight for known in gate.directory.table.known.values()
-    )
-    gate.handle(4.0, [RequestCompleted(1, 1504.0)])
-    assert (
-        gate.flow.attempts.limiter.in_flight.value == 1
-        and gate.directory.table.known[send.endpoint].in_flight == 1
-    )
-    gate.handle(8.0, [ResponseStarted(1, 0, send.endpoint)])
-    assert gate.flow.attempts.limiter.in_flight.value == 0
-    gate.handle(12.0, [AttemptEnded(1, 0, send.endpoint, 8.0, AttemptResult.OK, True)])
-    assert (
-        gate.flow.attempts.limiter.in_flight.value == 0
-        and gate.directory.table.known[send.endpoint].in_flight == 0
-        and not [*gate.flow.attempts.table]
-    )
+    controller = new_controller()
+    (send,) = sends_in(controller.handle(0.0, [SIX_ENDPOINTS, incomplete_arrival(1)]))
+    in_flight = controller.flow.attempts.limiter.in_flight
+    table = controller.directory.table
+    assert in_flight.value == 0 and not any(record.in_flight for record in table.known.values())
+    controller.handle(4.0, [RequestCompleted(1, 1504.0)])
+    assert in_flight.value == 1 and table.known[send.endpoint].in_flight == 1
+    controller.handle(8.0, [ResponseStarted(1, 0, send.endpoint)])
+    assert in_flight.value == 0
+    controller.handle(12.0, [AttemptEnded(1, 0, send.endpoint, 8.0, AttemptResult.OK, True)])
+    assert in_flight.value == 0 and table.known[send.endpoint].in_flight == 0
+    assert not [*controller.flow.attempts.table]
--- a/tests/policy/state_transfer/test_hot_restart.py
+++ b/tests/policy/state_transfer/test_hot_restart.py
@@ -1,11 +1,11 @@
-"""Tests of state_transfer: hot restart."""
+"""Tests of the state that a process hands over to its successor."""
 
 import json
 
-from support.policy_scenarios import SIX_ENDPOINTS
+from support.policy_events import SIX_ENDPOINTS, datagrams_in, sends_in
 from support.policy_settings import settings
 
-from gateway.interface.actions import Reject, SendAttempt, SendGossip
+from gateway.interface.actions import Reject
 from gateway.interface.events import AttemptEnded, AttemptResult, GossipReceived, RequestArrived
 from gateway.interface.settings import Plan
 from gateway.policy.controller import Controller
@@ -13,119 +13,124 @@
 from gateway.policy.state_transfer import hot_restart
 from gateway.policy.state_transfer.gateway_state import GatewayState
 
-START = 10_000.0
-
-
+START_MS = 10_000.0
 SETTINGS = settings(
     gateways=2,
     plans=(
-        Plan("rated", 4, 12, overage_cost=1.0),  # nothing goes beyond the quota
+        Plan("rated", 4, 12, overage_cost=1.0),  # nothing is forwarded beyond the quota
         Plan("capped", 8, 16, overage_cost=1.0, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
     ),
 )
 
 
-def gateway(seed=1):
-    made = Controller(SETTINGS, seed)
-    made.handle(START, [SIX_ENDPOINTS])
-    return made
+def started_controller(seed=1):
+    controller = Controller(SETTINGS, seed)
+    controller.handle(START_MS, [SIX_ENDPOINTS])
+    return controller
 
 
-def arrivals(numbers, customer, now, plan="rated"):
-    return [RequestArrived(number, customer, "look", plan, now + 1400, 1, 0, 1) for number in numbers]
+def arrivals(request_ids, now, plan_name="rated"):
+    return [
+        RequestArrived(request_id, "c", "look", plan_name, now + 1400, 1, 0, 1) for request_id in request_ids
+    ]
+
 
+def sent_ids(actions):
+    return [send.id for send in sends_in(actions)]
 
-def sends(actions):
-    return [action.id for action in actions if isinstance(action, SendAttempt)]
 
+def hand_over(predecessor, successor, now, successor_now=None):
+    """Pass the predecessor's state on as JSON, to a successor whose clock may differ."""
+    state = json.loads(json.dumps(hot_restart.export_state(predecessor, now).to_json()))
+    successor_now = now if successor_now is None else successor_now
+    hot_restart.take_over(successor, successor_now, GatewayState.from_json(state))
 
-def handed_over(old, new, now):
-    state = json.loads(json.dumps(hot_restart.export_state(old, now).to_json()))
-    hot_restart.take_over(new, now, GatewayState.from_json(state))
 
+def forwarded(controller, request_ids, now):
+    """Let requests arrive, and return the ids of those that the controller forwards.
 
-def let_in(controller, numbers, now):
-    """The requests that are sent on; each is answered at once, so that only the quota holds any back."""
-    sent = []
-    for number in numbers:
-        actions = controller.handle(now, arrivals([number], "c", now))
-        for send in (action for action in actions if isinstance(action, SendAttempt)):
+    Each attempt succeeds at once, so that only the quota holds requests back.
+    """
+    forwarded = []
+    for request_id in request_ids:
+        for send in sends_in(controller.handle(now, arrivals([request_id], now))):
             controller.handle(now, [AttemptEnded(send.id, 0, send.endpoint, 1.0, AttemptResult.OK, True)])
-            sent.append(send.id)
-    return sent
+            forwarded.append(send.id)
+    return forwarded
 
 
 def test_spent_units_are_not_granted_again():
-    old, new, fresh = gateway(), gateway(2), gateway(3)
-    now = START + 10
-    assert let_in(old, range(12), now)
-    handed_over(old, new, now)
-    assert not let_in(new, range(100, 103), now)  # the burst is spent but for what lesser worth leaves
-    assert len(let_in(fresh, range(200, 203), now)) == 3
+    predecessor = started_controller()
+    successor = started_controller(2)
+    other = started_controller(3)
+    now = START_MS + 10
+    assert forwarded(predecessor, range(12), now)
+    hand_over(predecessor, successor, now)
+    assert not forwarded(successor, range(100, 103), now)  # the rest of the burst is reserved
+    assert len(forwarded(other, range(200, 203), now)) == 3
 
 
 def test_retired_process_grants_nothing_and_asks_its_successor():
-    old, new = gateway(), gateway(2)
-    now = START + 10
-    handed_over(old, new, now)
-    actions = old.handle(now, arrivals([1], "c", now))
-    assert not sends(actions)
-    (told,) = [action for action in actions if isinstance(action, SendGossip)]
-    assert told.receiver == 0  # its own number: the other process
-    (reply,) = [
-        action
-        for action in new.handle(now + 1, [GossipReceived(0, told.data)])
-        if isinstance(action, SendGossip)
-    ]
+    predecessor = started_controller()
+    successor = started_controller(2)
+    now = START_MS + 10
+    hand_over(predecessor, successor, now)
+    actions = predecessor.handle(now, arrivals([1], now))
+    assert not sends_in(actions)
+    (request,) = datagrams_in(actions)
+    assert request.receiver == 0  # the other process, which has the same number
+    (reply,) = datagrams_in(successor.handle(now + 1, [GossipReceived(0, request.data)]))
     assert reply.receiver == 0
-    assert sends(old.handle(now + 2, [GossipReceived(0, reply.data)])) == [1]
-    level = next(iter(new.flow.leader.buckets.values())).level
-    assert level <= 11.01  # its units are taken where the store is now
+    assert sent_ids(predecessor.handle(now + 2, [GossipReceived(0, reply.data)])) == [1]
+    (bucket, *_) = successor.flow.leader.buckets.values()
+    assert bucket.level <= 11.01  # the successor's bucket pays for the request
 
 
 def test_waiting_request_gets_its_reply_from_the_successor():
-    old, new = gateway(), gateway(2)
-    now = START + 10
-    let_in(old, range(12), now)
-    waiting = old.handle(now, arrivals([50], "c", now))
-    assert not sends(waiting) and Reject not in [type(one) for one in waiting if getattr(one, "id", 0) == 50]
-    handed_over(old, new, now)
-    assert any(store.queue for store in new.flow.leader.buckets.values())
+    predecessor = started_controller()
+    successor = started_controller(2)
+    now = START_MS + 10
+    forwarded(predecessor, range(12), now)
+    actions = predecessor.handle(now, arrivals([50], now))
+    assert not sends_in(actions)
+    assert Reject not in [type(action) for action in actions if getattr(action, "id", 0) == 50]
+    hand_over(predecessor, successor, now)
+    assert any(bucket.queue for bucket in successor.flow.leader.buckets.values())
     for step in range(1, 300):
-        told = [action for action in new.handle(now + 4 * step, []) if isinstance(action, SendGossip)]
-        if told:
+        replies = datagrams_in(successor.handle(now + 4 * step, []))
+        if replies:
             break
-    assert sends(old.handle(now + 4 * step, [GossipReceived(0, told[0].data)])) == [50]
+    assert sent_ids(predecessor.handle(now + 4 * step, [GossipReceived(0, replies[0].data)])) == [50]
+
+
+def ceiling_levels(controller):
+    return [bucket.ceiling_level for bucket in controller.flow.leader.buckets.values()]
 
 
 def test_ceilings_are_transferred_and_resume_empty():
-    old, new = gateway(), gateway(2)
-    now = START + 4000
-    old.handle(now, arrivals([1], "c", now, "capped"))
-    before = sum(store.ceiling_level for store in old.flow.leader.buckets.values())
+    predecessor = started_controller()
+    successor = started_controller(2)
+    now = START_MS + 4000
+    predecessor.handle(now, arrivals([1], now, "capped"))
+    before = sum(ceiling_levels(predecessor))
     assert before > 0
-    handed_over(old, new, now)
-    assert (
-        sum(store.ceiling_level for store in new.flow.leader.buckets.values()) == before
-        and not old.flow.leader.buckets
-    )
-    assert all(
-        account.ceiling_level == account.quota_level == 0
-        for account in old.flow.lease_client.accounts.by_key.values()
-    )
-    hot_restart.resume(old, now + 5)  # the next process is gone, with what it spent
-    old.handle(now + 5, arrivals([2], "c", now + 5, "capped"))
-    (store,) = old.flow.leader.buckets.values()
-    assert (
-        isinstance(store, LeaderBucket) and store.ceiling_level < 32 * 0.75 - 16
-    )  # the quota's store may have been lent
+    hand_over(predecessor, successor, now)
+    assert sum(ceiling_levels(successor)) == before and not predecessor.flow.leader.buckets
+    accounts = predecessor.flow.lease_client.accounts.by_key.values()
+    assert all(account.ceiling_level == account.quota_level == 0 for account in accounts)
+    hot_restart.resume(predecessor, now + 5)  # the successor has ended, with what it spent
+    predecessor.handle(now + 5, arrivals([2], now + 5, "capped"))
+    (bucket,) = predecessor.flow.leader.buckets.values()
+    # The bucket of the quota may have been granted in the meantime.
+    assert isinstance(bucket, LeaderBucket) and bucket.ceiling_level < 32 * 0.75 - 16
 
 
 def test_clock_difference_fills_no_bucket():
-    old, new = gateway(), Controller(SETTINGS, 2)
-    now, ahead = START + 10, 1e9
-    let_in(old, range(12), now)
-    new.handle(START + ahead, [SIX_ENDPOINTS])
-    state = json.loads(json.dumps(hot_restart.export_state(old, now).to_json()))
-    hot_restart.take_over(new, now + ahead, GatewayState.from_json(state))
-    assert not let_in(new, range(100, 103), now + ahead)
+    predecessor = started_controller()
+    successor = Controller(SETTINGS, 2)
+    now = START_MS + 10
+    ahead_ms = 1e9
+    forwarded(predecessor, range(12), now)
+    successor.handle(START_MS + ahead_ms, [SIX_ENDPOINTS])
+    hand_over(predecessor, successor, now, now + ahead_ms)
+    assert not forwarded(successor, range(100, 103), now + ahead_ms)
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -1,16 +1,20 @@
-"""Tests of policy: controller."""
+"""Tests of the controller over all parts of the policy."""
 
 import math
 
-from support.policy_scenarios import SIX_ENDPOINTS, ask, gateway, of, outcome
-
-from gateway.gossip import codec as messages
-from gateway.interface.actions import (
-    CancelAttempt,
-    Reject,
-    SendAttempt,
-    SendGossip,
+from support.policy_events import (
+    SIX_ENDPOINTS,
+    actions_of,
+    arrival,
+    attempt_ended,
+    datagrams_in,
+    new_controller,
+    rejections_in,
+    sends_in,
 )
+
+from gateway.gossip import codec
+from gateway.interface.actions import CancelAttempt, Reject
 from gateway.interface.events import (
     AttemptResult,
     ClientDisconnected,
@@ -26,107 +30,108 @@
 
 
 def test_unusual_events_are_handled():
-    c = gateway()
-    c.handle(
-        1000,
-        [
-            EndpointUpdate(()),
-            EndpointUpdate((), failed=True),
-            TimerFired("never asked"),
-            ClientDisconnected(77),
-        ],
-    )
-    assert of(Reject, c.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])) == [
-        Reject(1),
-        Reject(2),
+    controller = new_controller()
+    odd_events = [
+        EndpointUpdate(()),
+        EndpointUpdate((), failed=True),
+        TimerFired("never asked"),
+        ClientDisconnected(77),
     ]
-    assert of(Reject, c.handle(1002, [ask(3, due=900.0)])) == [Reject(3)]
-    c.handle(1003, [ask(4)])  # no servers: held
-    assert 4 in c.flow.open
-    (send,) = of(SendAttempt, c.handle(1004, [SIX_ENDPOINTS]))
-    assert of(CancelAttempt, c.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
-    assert c.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
-    c.handle(
-        1007,
-        [
-            outcome(send, AttemptResult.OK),
-            outcome(send, AttemptResult.OK),
-            outcome(send, AttemptResult.ERROR, 3),
-        ],
-    )
-    assert c.flow.attempts.limiter.in_flight.value == 0 and not c.flow.open
+    controller.handle(1000, odd_events)
+    unknown = [arrival(1, "no such class"), arrival(2, plan_name="no such plan")]
+    assert rejections_in(controller.handle(1001, unknown)) == [Reject(1), Reject(2)]
+    late = arrival(3, deadline_at_ms=900.0)
+    assert rejections_in(controller.handle(1002, [late])) == [Reject(3)]
+    controller.handle(1003, [arrival(4)])
+    assert 4 in controller.flow.open  # queued, because there is no endpoint
+    (send,) = sends_in(controller.handle(1004, [SIX_ENDPOINTS]))
+    cancellations = actions_of(CancelAttempt, controller.handle(1005, [ClientDisconnected(4)]))
+    assert cancellations == [CancelAttempt(4, 0)]
+    assert controller.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
+    ends = [
+        attempt_ended(send, AttemptResult.OK),
+        attempt_ended(send, AttemptResult.OK),
+        attempt_ended(send, AttemptResult.ERROR, 3),
+    ]
+    controller.handle(1007, ends)
+    assert controller.flow.attempts.limiter.in_flight.value == 0 and not controller.flow.open
 
 
 def test_removed_endpoints_and_timers_of_ended_requests_are_dropped():
-    c = gateway(gateways=1, number=0)
-    c.handle(1000, [SIX_ENDPOINTS])
-    sends = of(SendAttempt, c.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
-    c.handle(1002, [EndpointUpdate(())])
-    assert set(c.directory.table.known) == {send.endpoint for send in sends}
-    c.handle(1003, [outcome(send, AttemptResult.OK) for send in sends])
+    controller = new_controller(gateways=1, number=0)
+    controller.handle(1000, [SIX_ENDPOINTS])
+    arrivals = [arrival(n, deadline_at_ms=600_000.0) for n in range(9)]
+    sends = sends_in(controller.handle(1001, arrivals))
+    controller.handle(1002, [EndpointUpdate(())])
+    assert set(controller.directory.table.known) == {send.endpoint for send in sends}
+    controller.handle(1003, [attempt_ended(send, AttemptResult.OK) for send in sends])
     for n in range(20):
-        c.handle(1100 + 100 * n, [])
-    assert not c.directory.table.known and not c.directory.table.by_tag
+        controller.handle(1100 + 100 * n, [])
+    assert not controller.directory.table.known and not controller.directory.table.by_tag
     for n in range(1000):
-        c.context.timers.schedule(600_000.0 + n, TimerKind.DEADLINE, 7)
-    c.context.timers.compact(c.flow.open)
-    assert len(c.context.timers) < 300
+        controller.context.timers.schedule(600_000.0 + n, TimerKind.DEADLINE, 7)
+    controller.context.timers.compact(controller.flow.open)
+    assert len(controller.context.timers) < 300
 
 
 def test_failing_event_does_not_lose_the_others_of_its_turn():
-    c = gateway(gateways=1, number=0)
+    controller = new_controller(gateways=1, number=0)
     odd = RequestArrived(1, "c", "look", "rated", 5000.0, units="many")
-    sends = of(SendAttempt, c.handle(1000, [SIX_ENDPOINTS, odd, ask(2)]))
-    assert [send.id for send in sends] == [2] and len(c.errors) == 1
-    c.handle(1001, [])
-    assert not c.errors
+    sends = sends_in(controller.handle(1000, [SIX_ENDPOINTS, odd, arrival(2)]))
+    assert [send.id for send in sends] == [2] and len(controller.errors) == 1
+    controller.handle(1001, [])
+    assert not controller.errors
 
 
-MANY = 1024  # gateways, and servers
+FLEET_SIZE = 1024  # gateways, and endpoints
 
 
 def test_thousand_gateways_and_endpoints_are_handled():
-    """Each server is known, nearly each is found by its tag, and each gateway is heard and can be told."""
-    servers = tuple(
+    """Every endpoint is known, nearly every one by its tag, and every gateway can send and receive."""
+    endpoints = tuple(
         Endpoint(f"s-{n:08x}", f"z{n % 3}", n % 64, EndpointState.READY, 1.0, 0.0 if n % 8 else 900.0)
-        for n in range(MANY)
+        for n in range(FLEET_SIZE)
     )
-    c = gateway(gateways=MANY, number=0)
-    sent, told, number = set(), set(), 0
-    c.handle(1000, [EndpointUpdate(servers)])
-    assert len(c.directory.table.known) == MANY and len(c.directory.table.by_tag) > 0.97 * MANY
+    controller = new_controller(gateways=FLEET_SIZE, number=0)
+    controller.handle(1000, [EndpointUpdate(endpoints)])
+    table = controller.directory.table
+    assert len(table.known) == FLEET_SIZE and len(table.by_tag) > 0.97 * FLEET_SIZE
+    chosen = set()
+    receivers = set()
     for turn in range(600):
         now = 1004.0 + 4 * turn
+        customer = f"{turn % 300:016x}"
         arrivals = [
-            RequestArrived(
-                number + n, f"{turn % 300:016x}", "look", "rated", now + 900, 1, 4 * turn % MANY, 64
-            )
-            for n in range(4)
+            RequestArrived(request_id, customer, "look", "rated", now + 900, 1, 4 * turn % FLEET_SIZE, 64)
+            for request_id in range(4 * turn, 4 * turn + 4)
         ]
-        number += 4
-        actions = c.handle(now, [TimerFired("agenda"), *arrivals])
-        sent |= {send.endpoint for send in of(SendAttempt, actions)}
-        told |= {tell.receiver for tell in of(SendGossip, actions)}
-        assert all(len(tell.data) <= messages.MAX_BYTES for tell in of(SendGossip, actions))
-        c.handle(now + 1, [outcome(send, AttemptResult.OK) for send in of(SendAttempt, actions)])
-    assert max(told) > 255 and len(told) > 100 and len(sent) >= 6
-    news = messages.encode(7, 1.0, [], [messages.observe(servers[1000].id, 0, math.inf)])
-    c.handle(3410, [GossipReceived(MANY - 1, news), GossipReceived(MANY, news)])
-    assert MANY - 1 in c.pace.received_at_ms and MANY not in c.pace.received_at_ms
-    assert c.directory.table.known[servers[1000].id].failures
-    assert not c.errors
+        actions = controller.handle(now, [TimerFired("agenda"), *arrivals])
+        sends = sends_in(actions)
+        chosen |= {send.endpoint for send in sends}
+        receivers |= {datagram.receiver for datagram in datagrams_in(actions)}
+        assert all(len(datagram.data) <= codec.MAX_BYTES for datagram in datagrams_in(actions))
+        controller.handle(now + 1, [attempt_ended(send, AttemptResult.OK) for send in sends])
+    assert max(receivers) > 255 and len(receivers) > 100 and len(chosen) >= 6
+    data = codec.encode(7, 1.0, [], [codec.observe(endpoints[1000].id, 0, math.inf)])
+    controller.handle(3410, [GossipReceived(FLEET_SIZE - 1, data), GossipReceived(FLEET_SIZE, data)])
+    received_at_ms = controller.pace.received_at_ms
+    assert FLEET_SIZE - 1 in received_at_ms and FLEET_SIZE not in received_at_ms
+    assert table.known[endpoints[1000].id].failures
+    assert not controller.errors
+
+
+def actions_of_a_fleet(gateways):
+    """Return how many actions one gateway of a fleet of this size takes in 2 s."""
+    controller = new_controller(gateways=gateways, number=1)
+    controller.handle(1000, [SIX_ENDPOINTS])
+    total = 0
+    for now in range(1004, 3000, 4):
+        request = RequestArrived(now, f"c{now}", "look", "rated", now + 1500.0, 1, 0, gateways)
+        arrivals = [request] if now % 40 == 0 else []
+        total += len(controller.handle(now, [*arrivals, TimerFired("agenda")]))
+    return total
 
 
 def test_work_for_one_request_does_not_grow_with_the_fleet():
-    """Counted: actions for the same day at 40 and at 400 gateways. (Few gateways are homes of many customers
-    themselves and need no messages, so they are no measure.)"""
-    counts = []
-    for gateways in (40, 400):
-        c = gateway(gateways=gateways, number=1)
-        c.handle(1000, [SIX_ENDPOINTS])
-        total = 0
-        for now in range(1004, 3000, 4):
-            came = RequestArrived(now, f"c{now}", "look", "rated", now + 1500.0, 1, 0, gateways)
-            total += len(c.handle(now, [*([came] if now % 40 == 0 else []), TimerFired("agenda")]))
-        counts.append(total)
-    assert counts[1] < 1.5 * counts[0]
+    """Fewer than 40 gateways lead most of their customers' quotas themselves, and are no measure."""
+    assert actions_of_a_fleet(400) < 1.5 * actions_of_a_fleet(40)
--- a/tests/policy/test_timers.py
+++ b/tests/policy/test_timers.py
@@ -1,28 +1,20 @@
-"""Tests of policy: timers."""
+"""Tests of the wake-ups that a controller requests."""
 
-from support.policy_scenarios import SIX_ENDPOINTS, ask, gateway, of, outcome
+from support.policy_events import SIX_ENDPOINTS, arrival, attempt_ended, new_controller, sends_in, timers_in
 
-from gateway.interface.actions import (
-    SendAttempt,
-    SetTimer,
-)
-from gateway.interface.events import (
-    AttemptResult,
-    TimerFired,
-)
+from gateway.interface.events import AttemptResult, TimerFired
 
 
 def test_wake_up_is_requested_for_the_earliest_timer_of_open_requests():
-    """Seen on a calm day: 3500 wake-ups for 750 requests, most for some that had long been answered."""
-    c = gateway(gateways=1)
-    first = of(SetTimer, c.handle(1000, [SIX_ENDPOINTS]))
-    assert [round(wake.after_ms) for wake in first] == [100]  # the period
-    actions = c.handle(1001, [ask(1)])
-    (send,) = of(SendAttempt, actions)
-    assert not of(SetTimer, actions)  # all that is due for the request comes after the period
-    c.handle(1002, [outcome(send, AttemptResult.OK)])
-    wakes, now = [], 1002.0
-    for _ in range(30):  # beyond its hedge, and up to where it would have been given up
-        now += 100
-        wakes += of(SetTimer, c.handle(now, [TimerFired("agenda")]))
+    controller = new_controller(gateways=1)
+    first = timers_in(controller.handle(1000, [SIX_ENDPOINTS]))
+    assert [round(wake.after_ms) for wake in first] == [100]  # the control period
+    actions = controller.handle(1001, [arrival(1)])
+    (send,) = sends_in(actions)
+    assert not timers_in(actions)  # the request has no timer within the control period
+    controller.handle(1002, [attempt_ended(send, AttemptResult.OK)])
+    wakes = []
+    for period in range(1, 31):  # past the request's hedge, up to its deadline
+        now = 1002.0 + 100 * period
+        wakes += timers_in(controller.handle(now, [TimerFired("agenda")]))
     assert len(wakes) == 30 and all(99 <= wake.after_ms <= 101 for wake in wakes)
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -2,16 +2,18 @@
 
 from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 
-TICK, GRACE, SLACK = 4.0, 250.0, 16.0
+TICK_MS = 4.0  # of a turn
+DRAIN_GRACE_MS = 250.0  # from the news of a withdrawal to the last attempt at the endpoint
+CLOCK_SLACK_MS = 16.0  # by which an answer may pass its deadline
 
 
 def settings(number=0, gateways=3, **more):
-    """Settings with every kind of repeat and plan."""
+    """Return settings with every kind of idempotency and plan."""
     values = dict(
         gateways=gateways,
         number=number,
         zone="z0",
-        tick_ms=TICK,
+        tick_ms=TICK_MS,
         classes=(
             RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
             RequestClass(
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -2,6 +2,7 @@
 
 import heapq
 import random
+from typing import NamedTuple
 
 from gateway.interface.actions import CancelAttempt, Fail, Reject, SendAttempt, SendGossip, SetTimer
 from gateway.interface.events import (
@@ -17,200 +18,293 @@
     TimerFired,
 )
 from gateway.policy.controller import Controller
-from support.policy_settings import SLACK, TICK, settings
-from support.rule_checker import Checker
-
-
-class Town:
-    """A few gateways, servers that act at random, and a network that loses, delays and repeats."""
-
-    def __init__(self, seed, gateways=3, kill=0.0005, loss=0.3, rate=120, leave=0.0, **more):
-        self.rng, self.leave, self.more = random.Random(seed), leave, more
-        self.config = settings(gateways=gateways, **more)
-        self.checker = Checker(self.config)
-        self.loss, self.kill, self.rate, self.left_waiting = loss, kill, rate, 0
-        self.now, self.serial, self.queue, self.log = 1000.0, 0, [], []
-        self.inbox = {n: [] for n in range(gateways)}
-        self.fleet = [Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(8)]
-        self.learned = {n: {} for n in range(gateways)}
-        self.life = dict.fromkeys(range(gateways), 0)
-        self.gateways, self.tries, self.streams = {}, {}, set()
-        self.cold_sent = {}
+from support.policy_settings import TICK_MS, settings
+from support.rule_checker import RuleChecker
+
+START_MS = 1000.0
+ENDPOINTS = 8
+MAX_DATAGRAM_BYTES = 256
+MAX_DRAIN_MS = 60_000  # from the last arrival to the last answer
+MIN_TIMER_MS = 1e-3
+CANCELLATION_MS = 0.5  # from the cancellation of an attempt to its end
+MEAN_ATTEMPT_MS = 150
+MEAN_DATAGRAM_MS = 60
+ENDPOINT_CHANGE_PROBABILITY = 0.002  # per tick
+TRUNCATION_PROBABILITY = 0.02  # per datagram
+RESULT_WEIGHTS = {
+    AttemptResult.OK: 70,
+    AttemptResult.ERROR: 8,
+    AttemptResult.OVERLOADED: 8,
+    AttemptResult.TIMEOUT: 6,
+    AttemptResult.CONNECT_FAILED: 4,
+    AttemptResult.RESET: 4,
+}
+NEXT_STATE = {
+    EndpointState.READY: EndpointState.DRAINING,
+    EndpointState.DRAINING: EndpointState.REMOVED,
+    EndpointState.REMOVED: EndpointState.READY,
+}
+
+
+class AttemptId(NamedTuple):
+    """The request of an attempt, and the attempt's number."""
+
+    request_id: int
+    attempt: int
+
+
+class OpenAttempt(NamedTuple):
+    """An attempt that has no result yet."""
+
+    gateway: int
+    endpoint: Endpoint
+    sent_ms: float
+
+
+class AttemptOutcome(NamedTuple):
+    """A result that an attempt is going to have."""
+
+    id: AttemptId
+    result: AttemptResult
+
+
+class Scheduled(NamedTuple):
+    """An event that reaches a gateway, unless the gateway has been restarted by then."""
+
+    at_ms: float
+    serial: int
+    gateway: int
+    incarnation: int
+    event: object
+
+
+class SimulatedFleet:
+    """A few gateways, endpoints that act at random, and a network that loses, delays and duplicates.
+
+    Probabilities of kills and disconnects are per tick, that of losses is per datagram.
+    """
+
+    def __init__(
+        self,
+        seed,
+        gateways=3,
+        kill_probability=0.0005,
+        loss_probability=0.3,
+        arrivals_per_s=120,
+        disconnect_probability=0.0,
+        **setting_changes,
+    ):
+        self.rng = random.Random(seed)
+        self.kill_probability = kill_probability
+        self.loss_probability = loss_probability
+        self.arrivals_per_s = arrivals_per_s
+        self.disconnect_probability = disconnect_probability
+        self.setting_changes = setting_changes
+        self.settings = settings(gateways=gateways, **setting_changes)
+        self.checker = RuleChecker(self.settings)
+        self.now = START_MS
+        self.serial = 0
+        self.scheduled = []
+        self.turns = []
+        self.disconnected_before_sending = 0
+        self.inboxes = {n: [] for n in range(gateways)}
+        self.endpoints = [
+            Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(ENDPOINTS)
+        ]
+        self.withdrawn_ms = {n: {} for n in range(gateways)}  # since when gateways know it, by endpoint
+        self.incarnations = dict.fromkeys(range(gateways), 0)
+        self.controllers = {}
+        self.attempts = {}
+        self.streaming = set()
         for n in range(gateways):
-            self.start(n)
+            self._start(n)
+
+    def run(self, duration_ms):
+        """Simulate this time, and then the time until every request has ended."""
+        end_ms = self.now + duration_ms
+        while self.now < end_ms or self.checker.open:
+            self.now += TICK_MS
+            if self.now < end_ms:
+                self._add_random_events()
+            if self.checker.open and self._happens(self.disconnect_probability):
+                self._disconnect_client()
+            self._deliver_due_events()
+            self._take_turns()
+            overdue = [n for n in self.checker.overdue(self.now) if n not in self.streaming]
+            assert not overdue, f"rule 1: no answer for {overdue[:3]}"
+            assert self.now < end_ms + MAX_DRAIN_MS
 
-    def start(self, n):
-        self.life[n] += 1
-        config = settings(number=n, gateways=len(self.life), **self.more)
-        self.gateways[n] = Controller(config, self.rng.randrange(1 << 30))
-        self.inbox[n] = [EndpointUpdate(tuple(self.fleet))]
-        self.learned[n] = {s.id: self.now for s in self.fleet if s.state is not EndpointState.READY}
+    def _happens(self, probability):
+        """Draw whether an event happens; nothing is drawn for one that never does."""
+        return probability > 0 and self.rng.random() < probability
 
-    def later(self, delay, gateway, event):
+    def _start(self, gateway):
+        self.incarnations[gateway] += 1
+        own_settings = settings(number=gateway, gateways=len(self.incarnations), **self.setting_changes)
+        self.controllers[gateway] = Controller(own_settings, self.rng.randrange(1 << 30))
+        self.inboxes[gateway] = [EndpointUpdate(tuple(self.endpoints))]
+        self.withdrawn_ms[gateway] = {
+            endpoint.id: self.now for endpoint in self.endpoints if endpoint.state is not EndpointState.READY
+        }
+
+    def _schedule(self, delay_ms, gateway, event):
         self.serial += 1
-        heapq.heappush(self.queue, (self.now + delay, self.serial, gateway, self.life[gateway], event))
-
-    def change_fleet(self):
-        n = self.rng.randrange(len(self.fleet))
-        old = self.fleet[n]
-        flip = {
-            EndpointState.READY: EndpointState.DRAINING,
-            EndpointState.DRAINING: EndpointState.REMOVED,
-            EndpointState.REMOVED: EndpointState.READY,
-        }[old.state]
-        started = self.now if flip is EndpointState.READY else old.started_ms
-        self.fleet[n] = Endpoint(old.id, old.zone, old.cell, flip, 1.0, started)
-        for gateway in self.gateways:
-            self.inbox[gateway].append(EndpointUpdate((self.fleet[n],), is_snapshot=False))
-            if flip is EndpointState.READY:
-                self.learned[gateway].pop(old.id, None)
-            else:
-                self.learned[gateway].setdefault(old.id, self.now)
+        incarnation = self.incarnations[gateway]
+        heapq.heappush(
+            self.scheduled, Scheduled(self.now + delay_ms, self.serial, gateway, incarnation, event)
+        )
 
-    def arrive(self):
-        gateway = self.rng.randrange(len(self.gateways))
+    def _add_random_events(self):
+        per_tick = self.arrivals_per_s * TICK_MS / 1000
+        while self.rng.random() < per_tick / (1 + per_tick):
+            self._add_arrival()
+        if self.rng.random() < ENDPOINT_CHANGE_PROBABILITY:
+            self._change_endpoint()
+        if self.rng.random() < self.kill_probability:
+            self._restart(self.rng.randrange(len(self.controllers)))
+
+    def _add_arrival(self):
+        """Let a request arrive, whose customer is served by all gateways or by the first two."""
+        gateway = self.rng.randrange(len(self.controllers))
         self.serial += 1
-        kind = self.rng.choice(self.config.classes)
-        plan = self.rng.choice(self.config.plans)
-        spread = self.rng.choice((2, len(self.gateways)))
+        request_class = self.rng.choice(self.settings.classes)
+        plan = self.rng.choice(self.settings.plans)
+        spread = self.rng.choice((2, len(self.controllers)))
         customer = f"{plan.name}-{self.rng.randrange(4 if plan.max_in_flight else 1)}-{spread}"
-        first = gateway if spread == len(self.gateways) else 0
         if spread == 2:
             gateway = self.rng.randrange(2)
-        due = self.now + kind.deadline_ms * self.rng.uniform(0.05, 1)
+        deadline_at_ms = self.now + request_class.deadline_ms * self.rng.uniform(0.05, 1)
+        units = self.rng.choice((1, 1, 2, 4))
         arrival = RequestArrived(
-            self.serial,
-            customer,
-            kind.name,
-            plan.name,
-            due,
-            self.rng.choice((1, 1, 2, 4)),
-            0 if spread == 2 else first * 0,
-            spread,
+            self.serial, customer, request_class.name, plan.name, deadline_at_ms, units, 0, spread
         )
-        self.checker.arrival(gateway, arrival)
-        self.inbox[gateway].append(arrival)
-
-    def act(self, n, action):
-        if isinstance(action, SendAttempt):
-            server = next(s for s in self.fleet if s.id == action.endpoint)
-            self.checker.send(self.now, action.id, server, self.learned[n].get(server.id), action.send_by_ms)
-            attempt = len(self.checker.sent[action.id]) - 1
-            result = self.rng.choices(
-                [
-                    AttemptResult.OK,
-                    AttemptResult.ERROR,
-                    AttemptResult.OVERLOADED,
-                    AttemptResult.TIMEOUT,
-                    AttemptResult.CONNECT_FAILED,
-                    AttemptResult.RESET,
-                ],
-                [70, 8, 8, 6, 4, 4],
-            )[0]
-            took = min(self.rng.expovariate(1 / 150), action.timeout_ms)
-            took = action.timeout_ms if result is AttemptResult.TIMEOUT else took
-            self.tries[action.id, attempt] = (n, server, self.now)
-            streamed = self.checker.kinds[self.checker.open[action.id][1].class_name].streamed
-            if streamed and result is AttemptResult.OK:
-                self.later(took / 2, n, ResponseStarted(action.id, attempt, server.id))
-            self.later(took, n, (action.id, attempt, result))
-        elif isinstance(action, (Reject, Fail)):
-            if action.id in self.checker.open:
-                assert action.id not in self.streams, "rule 1: a started stream was ended"
-                refused = isinstance(action, Reject)
-                self.checker.answer(self.now, action.id, refused, action.retry_after_ms if refused else 0.0)
-        elif isinstance(action, CancelAttempt):
-            self.later(0.5, n, (action.id, action.attempt, AttemptResult.CANCELLED))
-        elif isinstance(action, SetTimer):
-            self.later(max(action.after_ms, 1e-3), n, TimerFired(action.name))
-        elif isinstance(action, SendGossip):
-            assert len(action.data) <= 256
-            copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
-            for _ in range(copies):
-                data = action.data if self.rng.random() > 0.02 else action.data[: self.rng.randrange(20)]
-                self.later(self.rng.expovariate(1 / 60), action.receiver, GossipReceived(n, data))
-
-    def deliver(self, gateway, event):
-        if not isinstance(event, tuple):
-            if isinstance(event, ResponseStarted):
-                if event.id not in self.checker.open or (event.id, event.attempt) not in self.tries:
-                    return
-                self.streams.add(event.id)
-            self.inbox[gateway].append(event)
-            return
-        number, attempt, result = event
-        entry = self.tries.pop((number, attempt), None)
-        if entry is None:
+        self.checker.on_arrival(gateway, arrival)
+        self.inboxes[gateway].append(arrival)
+
+    def _change_endpoint(self):
+        n = self.rng.randrange(len(self.endpoints))
+        old = self.endpoints[n]
+        state = NEXT_STATE[old.state]
+        is_ready = state is EndpointState.READY
+        started_ms = self.now if is_ready else old.started_ms
+        self.endpoints[n] = Endpoint(old.id, old.zone, old.cell, state, 1.0, started_ms)
+        for gateway in self.controllers:
+            self.inboxes[gateway].append(EndpointUpdate((self.endpoints[n],), is_snapshot=False))
+            if is_ready:
+                self.withdrawn_ms[gateway].pop(old.id, None)
+            else:
+                self.withdrawn_ms[gateway].setdefault(old.id, self.now)
+
+    def _restart(self, gateway):
+        self.checker.on_gateway_killed(gateway)
+        self.attempts = {id_: attempt for id_, attempt in self.attempts.items() if attempt.gateway != gateway}
+        self._start(gateway)
+
+    def _disconnect_client(self):
+        request_id = self.rng.choice(list(self.checker.open))
+        gateway = self.checker.close(request_id)
+        self.streaming.discard(request_id)
+        self.inboxes[gateway].append(ClientDisconnected(request_id))
+        self.disconnected_before_sending += not self.checker.requests[request_id].attempts
+
+    def _deliver_due_events(self):
+        while self.scheduled and self.scheduled[0].at_ms <= self.now:
+            due = heapq.heappop(self.scheduled)
+            is_current = due.incarnation == self.incarnations[due.gateway]
+            if isinstance(due.event, GossipReceived) or is_current:
+                self._deliver(due.gateway, due.event)
+
+    def _deliver(self, gateway, event):
+        if isinstance(event, AttemptOutcome):
+            self._end_attempt(gateway, event)
+        elif not isinstance(event, ResponseStarted):
+            self.inboxes[gateway].append(event)
+        elif event.id in self.checker.open and AttemptId(event.id, event.attempt) in self.attempts:
+            self.streaming.add(event.id)
+            self.inboxes[gateway].append(event)
+
+    def _end_attempt(self, gateway, outcome):
+        request_id, attempt = outcome.id
+        ended = self.attempts.pop(outcome.id, None)
+        if ended is None:
             return
-        _, server, sent_ms = entry
-        if result.proves_not_executed:
-            self.checker.proved[number].add(attempt)
-        if number in self.checker.open and (result is AttemptResult.OK or number in self.streams):
-            self.streams.discard(number)
-            due = self.checker.open[number][1].deadline_at_ms
-            assert (
-                self.now <= due + SLACK
-                or self.checker.kinds[self.checker.open[number][1].class_name].streamed
-            ), "rule 1: late"
-            self.checker.open.pop(number)
-            self.checker.done.add(number)
-        final = number not in self.checker.open
-        self.inbox[gateway].append(
+        if outcome.result.proves_not_executed:
+            self.checker.on_not_executed(request_id, attempt)
+        is_success = outcome.result is AttemptResult.OK or request_id in self.streaming
+        if request_id in self.checker.open and is_success:
+            self.streaming.discard(request_id)
+            self.checker.on_success(self.now, request_id)
+        is_final = request_id not in self.checker.open
+        duration_ms = self.now - ended.sent_ms
+        queue_length = self.rng.choice((0, 1, 3))
+        self.inboxes[gateway].append(
             AttemptEnded(
-                number,
+                request_id,
                 attempt,
-                server.id,
-                self.now - sent_ms,
-                result,
-                final,
-                self.rng.choice((0, 1, 3)),
+                ended.endpoint.id,
+                duration_ms,
+                outcome.result,
+                is_final,
+                queue_length,
                 0,
                 (0.5, 2.0),
             )
         )
 
-    def run(self, ms):
-        end = self.now + ms
-        while self.now < end or self.checker.open:
-            self.now += TICK
-            if self.now < end:
-                while self.rng.random() < self.rate * TICK / 1000 / (1 + self.rate * TICK / 1000):
-                    self.arrive()
-                if self.rng.random() < 0.002:
-                    self.change_fleet()
-                if self.rng.random() < self.kill:
-                    self.killed(self.rng.randrange(len(self.gateways)))
-            if self.leave and self.checker.open and self.rng.random() < self.leave:
-                self.client_leaves()
-            while self.queue and self.queue[0][0] <= self.now:
-                _, _, gateway, life, event = heapq.heappop(self.queue)
-                if isinstance(event, GossipReceived) or life == self.life[gateway]:
-                    self.deliver(gateway, event)
-            for n, controller in self.gateways.items():
-                events, self.inbox[n] = self.inbox[n], []
-                if events:
-                    actions = controller.handle(self.now, events)
-                    assert not controller.errors, controller.errors
-                    self.log.append((n, self.now, actions))
-                    for action in actions:
-                        self.act(n, action)
-            overdue = [
-                n
-                for n, (_, arrival) in self.checker.open.items()
-                if arrival.deadline_at_ms + SLACK < self.now and n not in self.streams
-            ]
-            assert not overdue, f"rule 1: no answer for {overdue[:3]}"
-            assert self.now < end + 60_000
-
-    def client_leaves(self):
-        number = self.rng.choice(list(self.checker.open))
-        gateway, _ = self.checker.open.pop(number)
-        self.checker.done.add(number)
-        self.streams.discard(number)
-        self.inbox[gateway].append(ClientDisconnected(number))
-        self.left_waiting += not self.checker.sent[number]
-
-    def killed(self, n):
-        self.checker.killed(n)
-        self.tries = {key: entry for key, entry in self.tries.items() if entry[0] != n}
-        self.start(n)
+    def _take_turns(self):
+        for gateway, controller in self.controllers.items():
+            events = self.inboxes[gateway]
+            self.inboxes[gateway] = []
+            if not events:
+                continue
+            actions = controller.handle(self.now, events)
+            assert not controller.errors, controller.errors
+            self.turns.append((gateway, self.now, actions))
+            for action in actions:
+                self._carry_out(gateway, action)
+
+    def _carry_out(self, gateway, action):
+        match action:
+            case SendAttempt():
+                self._send_attempt(gateway, action)
+            case Reject() | Fail():
+                self._answer(action)
+            case CancelAttempt():
+                outcome = AttemptOutcome(AttemptId(action.id, action.attempt), AttemptResult.CANCELLED)
+                self._schedule(CANCELLATION_MS, gateway, outcome)
+            case SetTimer():
+                self._schedule(max(action.after_ms, MIN_TIMER_MS), gateway, TimerFired(action.name))
+            case SendGossip():
+                self._send_datagram(gateway, action)
+
+    def _send_attempt(self, gateway, action):
+        endpoint = next(endpoint for endpoint in self.endpoints if endpoint.id == action.endpoint)
+        withdrawn_ms = self.withdrawn_ms[gateway].get(endpoint.id)
+        self.checker.on_send(self.now, action, endpoint, withdrawn_ms)
+        id_ = AttemptId(action.id, len(self.checker.requests[action.id].attempts) - 1)
+        (result,) = self.rng.choices([*RESULT_WEIGHTS], [*RESULT_WEIGHTS.values()])
+        duration_ms = min(self.rng.expovariate(1 / MEAN_ATTEMPT_MS), action.timeout_ms)
+        if result is AttemptResult.TIMEOUT:
+            duration_ms = action.timeout_ms
+        self.attempts[id_] = OpenAttempt(gateway, endpoint, self.now)
+        if result is AttemptResult.OK and self.checker.class_of(action.id).streamed:
+            self._schedule(duration_ms / 2, gateway, ResponseStarted(*id_, endpoint.id))
+        self._schedule(duration_ms, gateway, AttemptOutcome(id_, result))
+
+    def _answer(self, action):
+        if action.id not in self.checker.open:
+            return
+        assert action.id not in self.streaming, "rule 1: a started stream was ended"
+        if isinstance(action, Reject):
+            self.checker.on_rejection(self.now, action.id, action.retry_after_ms)
+        else:
+            self.checker.on_failure(self.now, action.id)
+
+    def _send_datagram(self, gateway, action):
+        assert len(action.data) <= MAX_DATAGRAM_BYTES
+        copies = 0 if self.rng.random() < self.loss_probability else self.rng.choice((1, 1, 1, 2))
+        for _ in range(copies):
+            is_complete = self.rng.random() > TRUNCATION_PROBABILITY
+            data = action.data if is_complete else action.data[: self.rng.randrange(20)]
+            delay_ms = self.rng.expovariate(1 / MEAN_DATAGRAM_MS)
+            self._schedule(delay_ms, action.receiver, GossipReceived(gateway, data))
