--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -2,6 +2,20 @@
 
 from support.addresses import HOST
 
+CLASSES = [
+    {"name": "look", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "retryable"},
+    {
+        "name": "book",
+        "aimMs": 5e3,
+        "deadlineMs": 2e4,
+        "worth": 1.0,
+        "repeat": "dedup",
+        "keyScope": "zone",
+        "dedupWindowMs": 9e3,
+    },
+    {"name": "debit", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "fragile"},
+]
+
 
 def settings(**limits):
     """Return the settings of a configuration."""
@@ -10,19 +24,7 @@
         "myNumber": 0,
         "locality": "a",
         "tickMs": 4.0,
-        "classes": [
-            {"name": "look", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "retryable"},
-            {
-                "name": "book",
-                "aimMs": 5e3,
-                "deadlineMs": 2e4,
-                "worth": 1.0,
-                "repeat": "dedup",
-                "keyScope": "zone",
-                "dedupWindowMs": 9e3,
-            },
-            {"name": "debit", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "fragile"},
-        ],
+        "classes": CLASSES,
         "packages": [{"name": "basic", "perSecond": 50.0, "storeSize": 100.0}],
         "limits": {
             "maxAttempts": 3,
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -5,6 +5,35 @@
 TICK_MS = 4.0  # of a turn
 DRAIN_GRACE_MS = 250.0  # from the news of a withdrawal to the last attempt at the endpoint
 CLOCK_SLACK_MS = 16.0  # by which an answer may pass its deadline
+DEDUPLICATION_WINDOW_MS = 1200
+
+
+def keyed_class(name, key_scope):
+    """Return a class of requests with an idempotency key."""
+    return RequestClass(
+        name,
+        900,
+        2500,
+        4,
+        Idempotency.WITH_KEY,
+        key_scope=key_scope,
+        deduplication_window_ms=DEDUPLICATION_WINDOW_MS,
+    )
+
+
+CLASSES = (
+    RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
+    keyed_class("book", KeyScope.CELL),
+    keyed_class("hold", KeyScope.ZONE),
+    keyed_class("seat", KeyScope.ALL),
+    RequestClass("debit", 900, 2500, 3, Idempotency.NON_IDEMPOTENT),
+    RequestClass("feed", 900, 2500, 1, Idempotency.IDEMPOTENT, streamed=True),
+)
+PLANS = (
+    Plan("rated", 4, 12, 0, 1.0, 0.3, 0.1),
+    Plan("capped", 8, 16, 0, 1.5, 0.5, 0.1, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
+    Plan("open", max_in_flight=4, weight_factor=1.2, overage_cost=1.0),
+)
 
 
 def settings(number=0, gateways=3, **more):
@@ -14,43 +43,8 @@
         number=number,
         zone="z0",
         tick_ms=TICK_MS,
-        classes=(
-            RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
-            RequestClass(
-                "book",
-                900,
-                2500,
-                4,
-                Idempotency.WITH_KEY,
-                key_scope=KeyScope.CELL,
-                deduplication_window_ms=1200,
-            ),
-            RequestClass(
-                "hold",
-                900,
-                2500,
-                4,
-                Idempotency.WITH_KEY,
-                key_scope=KeyScope.ZONE,
-                deduplication_window_ms=1200,
-            ),
-            RequestClass(
-                "seat",
-                900,
-                2500,
-                4,
-                Idempotency.WITH_KEY,
-                key_scope=KeyScope.ALL,
-                deduplication_window_ms=1200,
-            ),
-            RequestClass("debit", 900, 2500, 3, Idempotency.NON_IDEMPOTENT),
-            RequestClass("feed", 900, 2500, 1, Idempotency.IDEMPOTENT, streamed=True),
-        ),
-        plans=(
-            Plan("rated", 4, 12, 0, 1.0, 0.3, 0.1),
-            Plan("capped", 8, 16, 0, 1.5, 0.5, 0.1, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
-            Plan("open", max_in_flight=4, weight_factor=1.2, overage_cost=1.0),
-        ),
+        classes=CLASSES,
+        plans=PLANS,
         slow_start_ms=8000,
         slow_start_floor=0.25,
         overload_multiple=3,
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -10,7 +10,6 @@
     AttemptResult,
     ClientDisconnected,
     Endpoint,
-    EndpointState,
     EndpointUpdate,
     GossipReceived,
     RequestArrived,
@@ -20,30 +19,16 @@
 from gateway.policy.controller import Controller
 from support.policy_settings import TICK_MS, settings
 from support.rule_checker import RuleChecker
+from support.simulated_endpoints import SimulatedEndpoints
 
 START_MS = 1000.0
-ENDPOINTS = 8
 MAX_DATAGRAM_BYTES = 256
 MAX_DRAIN_MS = 60_000  # from the last arrival to the last answer
 MIN_TIMER_MS = 1e-3
 CANCELLATION_MS = 0.5  # from the cancellation of an attempt to its end
-MEAN_ATTEMPT_MS = 150
 MEAN_DATAGRAM_MS = 60
 ENDPOINT_CHANGE_PROBABILITY = 0.002  # per tick
 TRUNCATION_PROBABILITY = 0.02  # per datagram
-RESULT_WEIGHTS = {
-    AttemptResult.OK: 70,
-    AttemptResult.ERROR: 8,
-    AttemptResult.OVERLOADED: 8,
-    AttemptResult.TIMEOUT: 6,
-    AttemptResult.CONNECT_FAILED: 4,
-    AttemptResult.RESET: 4,
-}
-NEXT_STATE = {
-    EndpointState.READY: EndpointState.DRAINING,
-    EndpointState.DRAINING: EndpointState.REMOVED,
-    EndpointState.REMOVED: EndpointState.READY,
-}
 
 
 class AttemptId(NamedTuple):
@@ -108,10 +93,7 @@
         self.turns = []
         self.disconnected_before_sending = 0
         self.inboxes = {n: [] for n in range(gateways)}
-        self.endpoints = [
-            Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(ENDPOINTS)
-        ]
-        self.withdrawn_ms = {n: {} for n in range(gateways)}  # since when gateways know it, by endpoint
+        self.endpoints = SimulatedEndpoints(self.rng, gateways)
         self.incarnations = dict.fromkeys(range(gateways), 0)
         self.controllers = {}
         self.attempts = {}
@@ -142,10 +124,8 @@
         self.incarnations[gateway] += 1
         own_settings = settings(number=gateway, gateways=len(self.incarnations), **self.setting_changes)
         self.controllers[gateway] = Controller(own_settings, self.rng.randrange(1 << 30))
-        self.inboxes[gateway] = [EndpointUpdate(tuple(self.endpoints))]
-        self.withdrawn_ms[gateway] = {
-            endpoint.id: self.now for endpoint in self.endpoints if endpoint.state is not EndpointState.READY
-        }
+        self.inboxes[gateway] = [EndpointUpdate(tuple(self.endpoints.all))]
+        self.endpoints.learn_all(gateway, self.now)
 
     def _schedule(self, delay_ms, gateway, event):
         self.serial += 1
@@ -182,18 +162,9 @@
         self.inboxes[gateway].append(arrival)
 
     def _change_endpoint(self):
-        n = self.rng.randrange(len(self.endpoints))
-        old = self.endpoints[n]
-        state = NEXT_STATE[old.state]
-        is_ready = state is EndpointState.READY
-        started_ms = self.now if is_ready else old.started_ms
-        self.endpoints[n] = Endpoint(old.id, old.zone, old.cell, state, 1.0, started_ms)
-        for gateway in self.controllers:
-            self.inboxes[gateway].append(EndpointUpdate((self.endpoints[n],), is_snapshot=False))
-            if is_ready:
-                self.withdrawn_ms[gateway].pop(old.id, None)
-            else:
-                self.withdrawn_ms[gateway].setdefault(old.id, self.now)
+        changed = self.endpoints.change_one(self.now)
+        for inbox in self.inboxes.values():
+            inbox.append(EndpointUpdate((changed,), is_snapshot=False))
 
     def _restart(self, gateway):
         self.checker.on_gateway_killed(gateway)
@@ -278,14 +249,11 @@
                 self._send_datagram(gateway, action)
 
     def _send_attempt(self, gateway, action):
-        endpoint = next(endpoint for endpoint in self.endpoints if endpoint.id == action.endpoint)
-        withdrawn_ms = self.withdrawn_ms[gateway].get(endpoint.id)
+        endpoint = self.endpoints.find(action.endpoint)
+        withdrawn_ms = self.endpoints.withdrawn_ms[gateway].get(endpoint.id)
         self.checker.on_send(self.now, action, endpoint, withdrawn_ms)
         id_ = AttemptId(action.id, len(self.checker.requests[action.id].attempts) - 1)
-        (result,) = self.rng.choices([*RESULT_WEIGHTS], [*RESULT_WEIGHTS.values()])
-        duration_ms = min(self.rng.expovariate(1 / MEAN_ATTEMPT_MS), action.timeout_ms)
-        if result is AttemptResult.TIMEOUT:
-            duration_ms = action.timeout_ms
+        result, duration_ms = self.endpoints.draw_result(action.timeout_ms)
         self.attempts[id_] = OpenAttempt(gateway, endpoint, self.now)
         if result is AttemptResult.OK and self.checker.class_of(action.id).streamed:
             self._schedule(duration_ms / 2, gateway, ResponseStarted(*id_, endpoint.id))
