--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-async def test_malformed_request_is_rejected_before_the_controller_on_a_kept_connection(
+async def test_malformed_request_is_rejected_before_the_controller_on_a_persistent_connection(
     name, endpoint, controller, client
 ):
     data, status = MALFORMED[name]
--- a/tests/policy/quota/test_leader.py
+++ b/tests/policy/quota/test_leader.py
@@ -23,7 +23,7 @@
     return codec.encode(1, 1.0, list(entries), [])
 
 
-def test_in_flight_quota_is_kept_for_all_gateways():
+def test_in_flight_quota_holds_over_all_gateways():
     number = leader_of("o")
     peer = (number + 1) % 3
     controller = new_controller(number=number)
--- a/tests/policy/quota/test_lease_client.py
+++ b/tests/policy/quota/test_lease_client.py
@@ -33,7 +33,7 @@
     return GossipReceived(LEADER, codec.encode(1, 1.0, [entry], []))
 
 
-def test_silent_leader_is_asked_again_then_one_request_is_admitted_optimistically():
+def test_lease_requests_to_a_silent_leader_are_repeated_then_one_is_admitted_optimistically():
     controller = new_controller(number=OTHER_GATEWAY)
     events = [SIX_ENDPOINTS, *(arrival(n, units=4, deadline_at_ms=9000.0) for n in (1, 2, 3))]
     actions = []
