--- a/tests/policy/endpoints/test_directory.py
+++ b/tests/policy/endpoints/test_directory.py
@@ -2,7 +2,10 @@
 
 import itertools
 
+import hypothesis
 import pytest
+from hypothesis import given
+from hypothesis import strategies as st
 from support.policy_events import SIX_ENDPOINTS, actions_of, attempt_ended, new_controller, sends_in
 from support.policy_settings import settings
 
@@ -41,21 +44,33 @@
     assert all(preferred is endpoints for preferred in preferences(gateways, endpoints))
 
 
-@pytest.mark.parametrize(("gateways", "count"), [(40, 60), (40, 36), (40, 7), (16, 60), (47, 53), (300, 60)])
-def test_large_fleet_divides_its_endpoints_evenly(gateways, count):
-    endpoints = endpoint_records(count)
-    preferred = preferences(gateways, endpoints)
+def check_even_division(preferred, endpoints):
+    """Check that all gateways prefer equally many endpoints, and endpoints differ by one gateway at most."""
     times = [sum(endpoint in subset for subset in preferred) for endpoint in endpoints]
     assert min(times) >= GATEWAYS_PER_ENDPOINT and max(times) - min(times) <= 1
-    ids = [{id(endpoint) for endpoint in subset} for subset in preferred]
     assert len({len(subset) for subset in preferred}) == 1
-    assert all(len(distinct) == len(subset) for distinct, subset in zip(ids, preferred, strict=True))
+    assert all(len({id(endpoint) for endpoint in subset}) == len(subset) for subset in preferred)
     for subset in preferred:  # from both zones alike
         assert abs(sum(one.entry.zone == "z0" for one in subset) - len(subset) / 2) <= 1.5
+
+
+@pytest.mark.parametrize(("gateways", "count"), [(40, 60), (40, 36), (40, 7), (16, 60), (47, 53), (300, 60)])
+def test_large_fleet_divides_its_endpoints_evenly(gateways, count):
+    endpoints = endpoint_records(count)
+    preferred = preferences(gateways, endpoints)
+    check_even_division(preferred, endpoints)
     if count == 60 and gateways == 40:  # neighbouring gateways serve mostly the same customers
+        ids = [{id(endpoint) for endpoint in subset} for subset in preferred]
         assert all(len(a & b) < GATEWAYS_PER_ENDPOINT for a, b in itertools.pairwise(ids))
 
 
+@given(gateways=st.integers(GATEWAYS_PER_ENDPOINT + 1, 120), count=st.integers(1, 90))
+@hypothesis.settings(deadline=None)
+def test_fleet_of_any_size_divides_its_endpoints_evenly(gateways, count):
+    endpoints = endpoint_records(count)
+    check_even_division(preferences(gateways, endpoints), endpoints)
+
+
 def test_removed_endpoint_changes_few_preferences():
     endpoints = endpoint_records(60)
     before = preferences(40, endpoints)
