--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -12,13 +12,13 @@
     Endpoint,
     EndpointUpdate,
     GossipReceived,
-    RequestArrived,
     ResponseStarted,
     TimerFired,
 )
 from gateway.policy.controller import Controller
 from support.policy_settings import TICK_MS, settings
 from support.rule_checker import RuleChecker
+from support.simulated_arrivals import draw_arrival
 from support.simulated_endpoints import SimulatedEndpoints
 
 START_MS = 1000.0
@@ -144,22 +144,10 @@
             self._restart(self.rng.randrange(len(self.controllers)))
 
     def _add_arrival(self):
-        """Let a request arrive, whose customer is served by all gateways or by the first two."""
-        gateway = self.rng.randrange(len(self.controllers))
         self.serial += 1
-        request_class = self.rng.choice(self.settings.classes)
-        plan = self.rng.choice(self.settings.plans)
-        spread = self.rng.choice((2, len(self.controllers)))
-        customer = f"{plan.name}-{self.rng.randrange(4 if plan.max_in_flight else 1)}-{spread}"
-        if spread == 2:
-            gateway = self.rng.randrange(2)
-        deadline_at_ms = self.now + request_class.deadline_ms * self.rng.uniform(0.05, 1)
-        units = self.rng.choice((1, 1, 2, 4))
-        arrival = RequestArrived(
-            self.serial, customer, request_class.name, plan.name, deadline_at_ms, units, 0, spread
-        )
-        self.checker.on_arrival(gateway, arrival)
-        self.inboxes[gateway].append(arrival)
+        arrival = draw_arrival(self.rng, self.settings, self.serial, len(self.controllers), self.now)
+        self.checker.on_arrival(*arrival)
+        self.inboxes[arrival.gateway].append(arrival.event)
 
     def _change_endpoint(self):
         changed = self.endpoints.change_one(self.now)
