--- a/gateway/interface/settings.py
+++ b/gateway/interface/settings.py
@@ -10,6 +10,9 @@
 
 from gateway.errors import SettingsError
 
+REPORTED_IN_FLIGHT = "inflight"  # field of a load report: requests in flight at the endpoint
+REPORTED_UTILIZATION = "util"  # field of a load report: utilization of the endpoint, from 0 to 1
+
 
 class Idempotency(Enum):
     """What a second execution of a request would do."""
--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -1,4 +1,4 @@
-"""What all parts of the decision package share: the settings, the turn, the timers and the random numbers."""
+"""The objects that all components of one controller share: settings, turn, timers and process role."""
 
 from __future__ import annotations
 
@@ -9,41 +9,44 @@
 from gateway.interface.settings import Settings
 from gateway.policy.timers import TimerQueue
 
-INCARNATIONS = 1 << 16
+PERIOD_MS = 100.0  # interval between two steps of the controllers and averages
+STALL_PERIODS = 4.0  # periods without a turn after which the process counts as stalled
+INCARNATIONS = 1 << 16  # number of distinct incarnations, which have 16 bits in a datagram
 
 
 @dataclass(slots=True)
 class Turn:
-    """One call of the controller: its time, and the actions that it will return."""
+    """One call of the controller: its time, and the actions that it returns."""
 
     now_ms: float = 0.0
-    began_at_ms: float | None = None  # None: there was no turn yet
-    stalled: bool = False  # no turn came for so long that it was this process that stood still
+    started_at_ms: float | None = None  # None before the first turn
+    follows_stall: bool = False  # the process was stalled before this turn
     actions: list[Action] = field(default_factory=list)
 
-    def begin(self, now_ms: float, *, is_stall: bool) -> None:
-        """Begin the next turn."""
+    def start(self, now_ms: float) -> None:
+        """Start the next turn, with no actions yet."""
+        previous_ms = self.started_at_ms
+        self.follows_stall = previous_ms is not None and previous_ms < now_ms - STALL_PERIODS * PERIOD_MS
         self.now_ms = now_ms
-        self.began_at_ms = now_ms
-        self.stalled = is_stall
+        self.started_at_ms = now_ms
         self.actions = []
 
 
 @dataclass(slots=True)
 class ProcessRole:
-    """What this process is to its gateway, which has two processes while one follows the other."""
+    """The role of this process in its gateway, which has two processes during a hot restart."""
 
-    incarnation: int  # names this process to other gateways
-    started_at_ms: float = 0.0  # when the gateway started, whatever process it was
-    has_sibling: bool = False  # another process of this gateway runs, and
-    is_retired: bool = False  # it is the one that grants and admits
+    incarnation: int  # identifies this process to other gateways
+    started_at_ms: float = 0.0  # start of the gateway, including its previous processes
+    has_sibling: bool = False  # another process of this gateway is running
+    is_retired: bool = False  # the sibling grants and admits in place of this process
 
 
 class PolicyContext:
-    """The objects that the parts of one controller have in common."""
+    """The objects that the components of one controller have in common."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Begin before the first turn; all random numbers follow from the seed."""
+        """Create the state before the first turn; all random numbers follow from the seed."""
         self.settings = settings
         self.rng = random.Random(seed)
         self.turn = Turn()
@@ -52,10 +55,10 @@
 
 
 class PolicyComponent:
-    """Base of the parts of the decision package."""
+    """Base class of the components of a controller, which gives them access to the shared objects."""
 
     def __init__(self, context: PolicyContext) -> None:
-        """Take what all parts share."""
+        """Keep references to the shared objects."""
         self._settings = context.settings
         self._rng = context.rng
         self._turn = context.turn
@@ -64,5 +67,5 @@
         self._schedule = context.timers.schedule
 
     def _act(self, action: Action) -> None:
-        """Let the turn return an action."""
+        """Append an action to those that the current turn returns."""
         self._turn.actions.append(action)
--- a/gateway/policy/dispatch/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -1,10 +1,9 @@
-"""The limit on attempts in flight, learned from the answers that come within their latency objectives."""
+"""The limit on attempts in flight, learned from the responses within their latency objectives."""
 
 import math
 
-from gateway.policy.context import PolicyComponent, PolicyContext
+from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import CountWithMean, decay
-from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 
 INITIAL_PER_ENDPOINT = 12.0  # attempts per ready endpoint, over all gateways, before the first responses
 MIN_PER_ENDPOINT = 4.0  # lower bound in attempts per ready endpoint over all gateways
@@ -22,77 +21,85 @@
 
 
 class ConcurrencyLimiter(PolicyComponent):
-    """The limit on this gateway's attempts in flight, its part of one that all gateways share.
+    """The limit on this gateway's attempts in flight, which is its share of the fleet's limit.
 
-    Answers may take a part of their objectives: by Little's law, their rate times that time are in flight.
+    By Little's law, the attempts in flight are the rate of responses times the time that each may take. That
+    time is a fraction of the latency objective.
     """
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
         self.in_flight = CountWithMean(MEMORY_MS)
         self.limit = 0.0
-        self.target = 0.0  # attempts in flight that the answers of late account for
-        self.peer_target = 0.0  # the mean of the peers' targets
-        self.peak = 0.0  # the most in flight of late
-        self.cut = 1.0  # the part of the limit that overload has left
-        self._answered_ms = 0.0  # objectives of the requests answered in this period
-        self._overloaded = 0.0  # decaying counts of attempts refused as overloaded, and of all that ended
-        self._ended = 0.0
+        self.target = 0.0  # attempts in flight that correspond to the recent rate of responses
+        self.peer_target = 0.0  # moving average of the peers' targets
+        self.peak = 0.0  # decaying maximum of the attempts in flight
+        self.cut = 1.0  # fraction of the target that remains after overload
+        self._answered_ms = 0.0  # sum of the objectives of the responses in this period
+        self._overloaded = 0.0  # decaying count of attempts refused as overloaded
+        self._ended = 0.0  # decaying count of attempts that ended
 
     def count(self, change: int) -> None:
-        """Take note that so many more attempts, or fewer, are in flight from now on."""
+        """Change the number of attempts in flight."""
         self.in_flight.add(self._turn.now_ms, change)
 
     def on_answered(self, objective_ms: float) -> None:
-        """Take note of an answer to a request with this latency objective."""
+        """Count a response to a request with this latency objective."""
         self._answered_ms += objective_ms
 
     def on_attempt_ended(self, overloaded: bool) -> None:
-        """Take note of an attempt's end, and whether its endpoint refused it as overloaded."""
+        """Count the end of an attempt, and whether its endpoint refused it as overloaded."""
         self._overloaded += overloaded
         self._ended += 1
 
     def on_peer_target(self, target: float) -> None:
-        """Take in what another gateway tells of its target."""
+        """Update the mean of the peers' targets by one peer's target."""
         self.peer_target += (target - self.peer_target) * PEER_GAIN
 
-    def step(self, ready_endpoints: float) -> None:
-        """Set the limit for the next period; endpoints in slow start count by their part."""
-        kept = decay(PERIOD_MS, MEMORY_MS)
-        self.target = self.target * kept + self._answered_ms * SERVICE_FRACTION / PERIOD_MS * (1 - kept)
-        self.count(0)
-        self.peak = max(float(self.in_flight.value), self.peak * kept)
-        # A single endpoint that refuses every attempt stays below the threshold.
-        if self._overloaded > OVERLOAD_THRESHOLD * self._ended:
-            self.cut = max(MIN_CUT, self.cut * OVERLOAD_CUT)
-        else:
-            self.cut = min(1.0, self.cut * CUT_RECOVERY)
+    def step(self, capacity: float) -> None:
+        """Update the limit for the next period; `capacity` is as in `update_limit`."""
+        remaining = decay(PERIOD_MS, MEMORY_MS)
+        period_target = self._answered_ms * SERVICE_FRACTION / PERIOD_MS
+        self.target = self.target * remaining + period_target * (1 - remaining)
         self._answered_ms = 0.0
-        self._overloaded = self._overloaded * kept * kept
-        self._ended = self._ended * kept * kept
-        self.update_limit(ready_endpoints)
-
-    def update_limit(self, ready_endpoints: float) -> None:
-        """Set the limit anew for so many ready endpoints."""
-        ready = ready_endpoints / self._settings.gateways  # this gateway's share of the fleet
-        # A gateway's own few answers say little: the fleet's mean stands in for what they lack.
-        lack = max(0.0, self.peer_target - self.target) * PRIOR_RESPONSES / (PRIOR_RESPONSES + self._ended)
-        target = self.target + lack
+        self.count(0)
+        self.peak = max(float(self.in_flight.value), self.peak * remaining)
+        self._update_cut()
+        self._overloaded = self._overloaded * remaining * remaining
+        self._ended = self._ended * remaining * remaining
+        self.update_limit(capacity)
+
+    def update_limit(self, capacity: float) -> None:
+        """Set the limit for a fleet whose capacity is that of `capacity` endpoints at full capacity."""
+        share = capacity / self._settings.gateways
+        target = self._blended_target()
         if not target:
-            self.limit = INITIAL_PER_ENDPOINT * ready * self.cut
+            self.limit = INITIAL_PER_ENDPOINT * share * self.cut
             return
-        most = MAX_PEAK_GROWTH * max(self.peak, INITIAL_PER_ENDPOINT * ready)
-        self.limit = max(MIN_PER_ENDPOINT * ready * self.cut, min(target * self.cut, most))
+        upper_bound = MAX_PEAK_GROWTH * max(self.peak, INITIAL_PER_ENDPOINT * share)
+        self.limit = max(MIN_PER_ENDPOINT * share * self.cut, min(target * self.cut, upper_bound))
 
     def available(self) -> float:
         """Return how many more attempts may be in flight.
 
-        While the mean is under the limit, chance may pass it: at one request a second it is below one. Counts
-        scatter by their root: of the fleet's limit that is little, of a small part of it much, and what one
-        gateway holds back for it nobody uses. So the smaller the part, the more may be beyond it, and by half
-        as much the mean, which is taken over few; of a lone gateway none.
+        While the mean is within the limit, the count may exceed it by random variation. The deviation of a
+        count is its square root, which is small for the fleet's limit and large for a small share of it. The
+        slack therefore grows with the number of gateways, and a single gateway has the minimum. The mean may
+        exceed the limit by half of the deviation, since it covers few attempts.
         """
         deviation = SLACK_DEVIATIONS * math.sqrt(self.limit) * (1 - 1 / math.sqrt(self._settings.gateways))
         is_within = self.in_flight.mean < self.limit + deviation / 2
         slack = max(MIN_SLACK, deviation) if is_within else 0.0
         return self.limit + slack - self.in_flight.value
+
+    def _update_cut(self) -> None:
+        """Cut the limit while the endpoints are overloaded, else let the cut recover."""
+        if self._overloaded > OVERLOAD_THRESHOLD * self._ended:
+            self.cut = max(MIN_CUT, self.cut * OVERLOAD_CUT)
+        else:
+            self.cut = min(1.0, self.cut * CUT_RECOVERY)
+
+    def _blended_target(self) -> float:
+        """Return the own target, raised towards the peers' mean by the lack of own responses."""
+        missing = max(0.0, self.peer_target - self.target)
+        return self.target + missing * PRIOR_RESPONSES / (PRIOR_RESPONSES + self._ended)
--- a/gateway/policy/dispatch/dispatcher.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -1,8 +1,10 @@
-"""The dispatch queue: below the concurrency limit all leave it, at the limit by shares, then by weight."""
+"""The dispatch queue: emptied below the concurrency limit, and ordered by shares and priorities at it."""
+
+from collections.abc import Iterator
 
 from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.dispatch.fuzzy_share import FuzzyShare
-from gateway.policy.dispatch.latency import longest_wait_ms
+from gateway.policy.dispatch.latency import max_wait_ms
 from gateway.policy.requests.attempts import AttemptManager
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 
@@ -11,7 +13,7 @@
 
 
 class Dispatcher(PolicyComponent):
-    """The requests that are admitted and wait for room, and the shares by which they are dispatched."""
+    """The queue of admitted requests, and the shares of the concurrency limit by which it is dispatched."""
 
     def __init__(self, context: PolicyContext, attempts: AttemptManager) -> None:
         super().__init__(context)
@@ -19,53 +21,72 @@
         self._limiter = attempts.limiter
         self._attempts = attempts
         self.queue: list[RequestRecord] = []
-        self.shares = {known.name: FuzzyShare(longest_wait_ms(known), 1 / len(classes)) for known in classes}
-        self._waits_ms: dict[str, list[float]] = {known.name: [] for known in classes}
+        self.shares = {
+            request_class.name: FuzzyShare(max_wait_ms(request_class), 1 / len(classes))
+            for request_class in classes
+        }
+        self._waits_ms: dict[str, list[float]] = {request_class.name: [] for request_class in classes}
 
     def enqueue(self, request: RequestRecord) -> None:
-        """Let an admitted request wait for its dispatch at the end of the turn."""
+        """Queue an admitted request for the dispatch at the end of the turn."""
         request.phase = RequestPhase.QUEUED
         request.account.in_flight += 1
         self.queue.append(request)
 
     def step(self) -> None:
-        """Move each class's share by the waits of this period."""
-        for name, share in self.shares.items():
-            waits_ms = self._waits_ms[name]
-            if len(waits_ms) < MIN_WAIT_SAMPLES and self.queue:
-                waits_ms = waits_ms + [
-                    self._turn.now_ms - request.arrived_at_ms
-                    for request in self.queue
-                    if request.request_class.name == name
-                ]
+        """Update each class's share by the mean wait of this period."""
+        for class_name, share in self.shares.items():
+            waits_ms = self._waits_ms[class_name]
+            if len(waits_ms) < MIN_WAIT_SAMPLES:
+                waits_ms = [*waits_ms, *self._ages_ms(class_name)]
             share.step(sum(waits_ms) / len(waits_ms) if waits_ms else 0.0)
-            self._waits_ms[name] = []
+            self._waits_ms[class_name] = []
 
     def dispatch(self) -> None:
-        """Start attempts for what is queued, as far as the limit allows."""
+        """Start attempts for queued requests while the concurrency limit permits it.
+
+        Among equal priorities the newest request is first. The oldest first would bring all requests near
+        their objectives, and many beyond them.
+        """
         if not self.queue or self._limiter.available() < 1:
             return
-        # Of equal weight the newest goes: the oldest first would have all near their objectives, many late.
-        self.queue.sort(key=lambda one: (not one.within_quota, -one.priority, -one.arrived_at_ms))
+        self.queue.sort(
+            key=lambda request: (not request.within_quota, -request.priority, -request.arrived_at_ms)
+        )
         if len(self.queue) > self._limiter.available():
             self._sort_by_shares()
         is_busy = self._limiter.in_flight.mean >= MAX_OVERAGE_UTILIZATION * self._limiter.limit
         self.queue = [request for request in self.queue if not self._try_to_dispatch(request, is_busy)]
 
+    def _ages_ms(self, class_name: str) -> Iterator[float]:
+        """Return the times since the arrival of a class's queued requests."""
+        for request in self.queue:
+            if request.request_class.name == class_name:
+                yield self._turn.now_ms - request.arrived_at_ms
+
     def _sort_by_shares(self) -> None:
-        """Put those first that are within their class's share of the limit and within their quota."""
-        total = max(1.0, sum(share.share for share in self.shares.values()))
-        left = {name: share.share / total * self._limiter.limit for name, share in self.shares.items()}
-        for attempt in self._attempts.table:
-            left[attempt.request_class.name] -= attempt.is_executing
+        """Move the requests to the front that are within their class's share and within their quota."""
+        remaining = self._remaining_shares()
         within: list[RequestRecord] = []
         beyond: list[RequestRecord] = []
         for request in self.queue:
-            name = request.request_class.name
-            left[name] -= 1
-            (within if left[name] >= 0 and request.within_quota else beyond).append(request)
+            class_name = request.request_class.name
+            remaining[class_name] -= 1
+            if remaining[class_name] >= 0 and request.within_quota:
+                within.append(request)
+            else:
+                beyond.append(request)
         self.queue = within + beyond
 
+    def _remaining_shares(self) -> dict[str, float]:
+        """Return how many more attempts each class's share of the concurrency limit permits."""
+        total = max(1.0, sum(share.share for share in self.shares.values()))
+        remaining = {name: share.share / total * self._limiter.limit for name, share in self.shares.items()}
+        for attempt in self._attempts.table:
+            if attempt.is_executing:
+                remaining[attempt.request_class.name] -= 1
+        return remaining
+
     def _try_to_dispatch(self, request: RequestRecord, is_busy: bool) -> bool:
         if self._limiter.available() < 1 or (is_busy and not request.within_quota):
             return False
--- a/gateway/policy/dispatch/fuzzy_sets.py
+++ b/gateway/policy/dispatch/fuzzy_sets.py
@@ -1,4 +1,4 @@
-"""Fuzzy sets on [-1, 1]: five triangles, each as wide as its neighbours' distance."""
+"""Fuzzy sets on [-1, 1]: five triangles with equidistant centres, each overlapping its neighbours by half."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 def memberships(value: float) -> list[float]:
-    """Return the degree to which a value belongs to each of the sets."""
+    """Return the degree, from 0 to 1, to which a value belongs to each of the sets."""
     bounded = max(-1.0, min(1.0, value))
     return [max(0.0, 1 - abs(bounded - centre) / (CENTRES[1] - CENTRES[0])) for centre in CENTRES]
 
 
-_OUTPUTS = [
-    (step / OUTPUT_STEPS, memberships(step / OUTPUT_STEPS)) for step in range(-OUTPUT_STEPS, OUTPUT_STEPS + 1)
-]
+_OUTPUT_POINTS = [step / OUTPUT_STEPS for step in range(-OUTPUT_STEPS, OUTPUT_STEPS + 1)]
+_OUTPUT_MEMBERSHIPS = [(output, memberships(output)) for output in _OUTPUT_POINTS]
 
 
 def centre_of_gravity(strengths: Sequence[float]) -> float:
-    """Return the centre of the sets, each cut off at its strength (max-min inference)."""
-    moment = area = 0.0
-    for output, degrees in _OUTPUTS:
+    """Return the centre of gravity of the sets, each cut off at its strength (max-min inference)."""
+    moment = 0.0
+    area = 0.0
+    for output, degrees in _OUTPUT_MEMBERSHIPS:
         height = max(map(min, strengths, degrees))
         moment += output * height
         area += height
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -1,15 +1,14 @@
-"""The ready endpoints, sorted by what may be sent to them."""
+"""The directory of ready endpoints, sorted by their capacity and by this gateway's preference."""
 
 import math
 
 from gateway.interface.events import EndpointState, EndpointUpdate
-from gateway.policy.context import PolicyComponent, PolicyContext
+from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
-from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.endpoints.endpoint_table import EndpointTable
 from gateway.policy.endpoints.hash_ring import arc, mixed_ring
-from gateway.policy.endpoints.slow_start import capacity_part
+from gateway.policy.endpoints.slow_start import capacity_fraction
 from gateway.policy.timers import TimerKind
 
 GATEWAYS_PER_ENDPOINT = 6  # gateways that prefer the same endpoint
@@ -19,44 +18,42 @@
 
 
 class EndpointDirectory(PolicyComponent):
-    """The endpoints known to this gateway, and which of them are ready."""
+    """The endpoints of the fleet, and the lists of those that are ready."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
         self.table = EndpointTable()
-        self.warm: list[EndpointRecord] = []  # ready, at full capacity
-        self.starting: list[EndpointRecord] = []  # ready, in slow start
-        self.preferred: list[
-            EndpointRecord
-        ] = []  # of the warm ones, those that this gateway uses before others
-        self.capacity = 0.0  # of those ready now, in endpoints at full capacity,
-        self.reference_capacity = 0.0  # and of late
-        self._least_reference = 0.0
+        self.warm: list[EndpointRecord] = []  # ready endpoints at full capacity
+        self.starting: list[EndpointRecord] = []  # ready endpoints in slow start
+        self.preferred: list[EndpointRecord] = []  # the warm endpoints that this gateway prefers
+        self.capacity = 0.0  # capacity of the ready endpoints, in endpoints at full capacity
+        self.reference_capacity = 0.0  # decaying maximum of the capacity, in the same unit
+        self._min_reference_capacity = 0.0
 
     def update(self, update: EndpointUpdate) -> list[EndpointRecord]:
-        """Take in discovery's view and return the endpoints that just stopped being ready."""
-        before = self.warm + self.starting
+        """Apply an update of the endpoint list; return the endpoints that are no longer ready."""
+        ready_before = self.warm + self.starting
         self.table.apply(update)
-        self._sort()
-        return [endpoint for endpoint in before if endpoint.entry.state is not EndpointState.READY]
+        self._sort_ready()
+        return [endpoint for endpoint in ready_before if endpoint.entry.state is not EndpointState.READY]
 
     def on_update_failed(self) -> None:
-        """Discovery could not be asked: ask again, in good time."""
-        again_at_ms = self._turn.now_ms + self._settings.poll_within_ms / POLLS_PER_INTERVAL
-        self._schedule(again_at_ms, TimerKind.SUBSCRIBE)
+        """Schedule the next subscription after a failed one."""
+        retry_at_ms = self._turn.now_ms + self._settings.poll_within_ms / POLLS_PER_INTERVAL
+        self._schedule(retry_at_ms, TimerKind.SUBSCRIBE)
 
     def step(self) -> None:
-        """Go on by one period: slow start proceeds, and the fleet of late fades."""
-        faded = self.reference_capacity * decay(PERIOD_MS, REFERENCE_MEMORY_MS)
-        self.reference_capacity = max(self._least_reference, faded)
+        """Advance slow start and the reference capacity by one period, and drop removed endpoints."""
+        decayed = self.reference_capacity * decay(PERIOD_MS, REFERENCE_MEMORY_MS)
+        self.reference_capacity = max(self._min_reference_capacity, decayed)
         if self.starting:
-            self._sort()
-        self.table.tidy()
+            self._sort_ready()
+        self.table.drop_removed()
 
-    def preferred_part(self, endpoints: list[EndpointRecord]) -> list[EndpointRecord]:
-        """Return those that this gateway uses before others; of a small fleet all.
+    def preferred_subset(self, endpoints: list[EndpointRecord]) -> list[EndpointRecord]:
+        """Return the endpoints that this gateway prefers; in a small fleet all of them.
 
-        Each endpoint of a large fleet would else hold connections of every gateway, most used once or twice.
+        In a large fleet, each endpoint would otherwise hold rarely used connections of every gateway.
         """
         gateways = self._settings.gateways
         length = math.ceil(len(endpoints) * GATEWAYS_PER_ENDPOINT / gateways)
@@ -64,18 +61,28 @@
             return endpoints
         return arc(mixed_ring(endpoints), length, self._settings.number, gateways)
 
-    def _sort(self) -> None:
+    def _sort_ready(self) -> None:
+        """Sort the ready endpoints into the lists, and update both capacities."""
         self.warm = []
         self.starting = []
         self.capacity = 0.0
         ready = self.table.ready()
         for endpoint in ready:
-            part = capacity_part(self._settings, self._turn.now_ms, endpoint.entry)
-            (self.warm if part >= 1 else self.starting).append(endpoint)
-            self.capacity += part
-        # Who has just started doesn't know the fleet of late. Each ready endpoint, once warm, would carry its
-        # part of all requests at least: so much of it the settings let one in slow start have.
-        allowed = SLOW_START_SAFETY_FACTOR * len(ready) / max(1.0, self._settings.overload_multiple)
-        self._least_reference = max(self.capacity, allowed)
-        self.reference_capacity = max(self._least_reference, self.reference_capacity)
-        self.preferred = self.preferred_part(self.warm)
+            fraction = capacity_fraction(self._settings, self._turn.now_ms, endpoint.entry)
+            if fraction >= 1:
+                self.warm.append(endpoint)
+            else:
+                self.starting.append(endpoint)
+            self.capacity += fraction
+        self._update_reference_capacity(len(ready))
+        self.preferred = self.preferred_subset(self.warm)
+
+    def _update_reference_capacity(self, ready: int) -> None:
+        """Raise the reference capacity to the current one, or to the least that `ready` endpoints imply.
+
+        A gateway that has just started has not observed the fleet at full capacity. The settings permit a
+        multiple of an endpoint's capacity during slow start, which bounds its fraction of the load.
+        """
+        permitted = SLOW_START_SAFETY_FACTOR * ready / max(1.0, self._settings.overload_multiple)
+        self._min_reference_capacity = max(self.capacity, permitted)
+        self.reference_capacity = max(self._min_reference_capacity, self.reference_capacity)
--- a/gateway/policy/endpoints/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery lists, as it lists them."""
+"""The records of all listed endpoints."""
 
 from __future__ import annotations
 
@@ -11,53 +11,56 @@
 
 
 class EndpointTable:
-    """The records of the listed endpoints, and of removed ones on which something is still in flight."""
+    """The records of the listed endpoints, and of removed ones that still have attempts in flight."""
 
     def __init__(self) -> None:
-        """Begin with no endpoint."""
-        self.known: dict[str, EndpointRecord] = {}
-        self.by_tag: dict[int, EndpointRecord] = {}  # those whose tag no other one shares
+        """Start with no endpoint."""
+        self.by_id: dict[str, EndpointRecord] = {}
+        self.by_tag: dict[int, EndpointRecord] = {}  # endpoints whose tag is unique
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Take in discovery's view. What restarted begins with a new record."""
-        listed = {entry.id for entry in update.endpoints}
-        for name, endpoint in self.known.items():
-            if update.is_snapshot and name not in listed:
+        """Apply an update of the endpoint list; an endpoint that has restarted gets a new record."""
+        listed_ids = {entry.id for entry in update.endpoints}
+        for endpoint_id, endpoint in self.by_id.items():
+            if update.is_snapshot and endpoint_id not in listed_ids:
                 endpoint.entry = replace(endpoint.entry, state=EndpointState.REMOVED)
         for entry in update.endpoints:
-            known = self.known.get(entry.id)
-            if known is None or known.entry.started_ms != entry.started_ms:
-                known = self.known[entry.id] = EndpointRecord(entry)
-            known.entry = entry
-        self._forget_removed()
+            current = self.by_id.get(entry.id)
+            if current is None or current.entry.started_ms != entry.started_ms:
+                self.by_id[entry.id] = EndpointRecord(entry)
+            else:
+                current.entry = entry
+        self._drop_removed()
 
-    def tidy(self) -> None:
-        """Forget removed endpoints on which nothing is in flight any more."""
-        if any(endpoint.entry.state is EndpointState.REMOVED for endpoint in self.known.values()):
-            self._forget_removed()
+    def drop_removed(self) -> None:
+        """Drop removed endpoints without attempts in flight."""
+        if any(endpoint.entry.state is EndpointState.REMOVED for endpoint in self.by_id.values()):
+            self._drop_removed()
 
     def ready(self) -> list[EndpointRecord]:
-        """Return the endpoints that discovery calls ready."""
-        return [known for known in self.known.values() if known.entry.state is EndpointState.READY]
+        """Return the endpoints that are listed as ready."""
+        return [endpoint for endpoint in self.by_id.values() if endpoint.entry.state is EndpointState.READY]
 
     def listed(self) -> list[EndpointRecord]:
-        """Return the endpoints that discovery lists, in whatever state."""
-        return [known for known in self.known.values() if known.entry.state is not EndpointState.REMOVED]
+        """Return the listed endpoints in any state."""
+        return [
+            endpoint for endpoint in self.by_id.values() if endpoint.entry.state is not EndpointState.REMOVED
+        ]
 
-    def _forget_removed(self) -> None:
-        """Keep nothing of removed endpoints once nothing is in flight there: ids may be ever new.
+    def _drop_removed(self) -> None:
+        """Drop removed endpoints and update the index by tag.
 
-        A tag is short: of 200 endpoints two share one on a quarter of the days. What peers tell of such a tag
-        may be about either, and counts for neither.
+        Tags have 16 bits. An observation that names a tag of two endpoints may concern either, so such a tag
+        is not in the index.
         """
-        self.known = {
-            name: endpoint
-            for name, endpoint in self.known.items()
+        self.by_id = {
+            endpoint_id: endpoint
+            for endpoint_id, endpoint in self.by_id.items()
             if endpoint.entry.state is not EndpointState.REMOVED or endpoint.in_flight
         }
-        holders = Counter(map(endpoint_tag, self.known))
+        holders = Counter(map(endpoint_tag, self.by_id))
         self.by_tag = {
-            endpoint_tag(name): endpoint
-            for name, endpoint in self.known.items()
-            if holders[endpoint_tag(name)] == 1
+            endpoint_tag(endpoint_id): endpoint
+            for endpoint_id, endpoint in self.by_id.items()
+            if holders[endpoint_tag(endpoint_id)] == 1
         }
--- a/gateway/policy/endpoints/hash_ring.py
+++ b/gateway/policy/endpoints/hash_ring.py
@@ -1,40 +1,56 @@
-"""A ring of endpoints with the zones mixed evenly, and the arcs that gateways take of it."""
+"""A hash ring of endpoints, of which each gateway prefers an arc."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Sequence
+from typing import NamedTuple
 
 from gateway.gossip.codec import endpoint_tag
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
-GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of two consecutive holders
+GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of two consecutive gateways
+
+
+class _Place(NamedTuple):
+    """The place of an endpoint on the ring: its relative position within its zone, and that zone."""
+
+    position: float
+    zone: str
+    endpoint: EndpointRecord
 
 
 def mixed_ring(endpoints: Sequence[EndpointRecord]) -> list[EndpointRecord]:
-    """Return the endpoints in the ring's order: by the hash of their ids, the zones mixed evenly."""
+    """Return the endpoints in the order of the ring: by the hash of their ids, the zones evenly mixed."""
     zones: dict[str, list[EndpointRecord]] = {}
     for endpoint in sorted(endpoints, key=_hash_order):
         zones.setdefault(endpoint.entry.zone, []).append(endpoint)
     places = [
-        ((position + 0.5) / len(members), zone, endpoint)
+        _Place((index + 0.5) / len(members), zone, endpoint)
         for zone, members in zones.items()
-        for position, endpoint in enumerate(members)
+        for index, endpoint in enumerate(members)
     ]
-    return [endpoint for _, _, endpoint in sorted(places, key=lambda place: place[:2])]
+    places.sort(key=lambda place: (place.position, place.zone))
+    return [place.endpoint for place in places]
 
 
-def arc(ring: Sequence[EndpointRecord], length: int, number: int, count: int) -> list[EndpointRecord]:
-    """Return the arc of `length` that belongs to holder `number` of `count`.
+def arc(ring: Sequence[EndpointRecord], length: int, number: int, gateways: int) -> list[EndpointRecord]:
+    """Return the arc of `length` endpoints that gateway `number` of `gateways` prefers.
 
-    The arcs begin at even distances, so that each endpoint is in as many of them as any other, but for one.
-    Where an endpoint comes or goes, they move on by little. Holders in a row get arcs that are far apart.
+    The arcs start at even distances, so that all endpoints are in equally many arcs, give or take one. When
+    an endpoint is added or removed, each arc changes by few endpoints. Gateways with consecutive numbers,
+    which often serve the same customers, have distant arcs.
     """
     size = len(ring)
-    step = next(step for step in range(round(count * GOLDEN_SECTION), count) if math.gcd(step, count) == 1)
-    start = number * step % count * size // count
+    start = number * _arc_step(gateways) % gateways * size // gateways
     return [ring[(start + offset) % size] for offset in range(length)]
 
 
+def _arc_step(gateways: int) -> int:
+    """Return the distance between consecutive gateways' arcs, coprime to the number of gateways."""
+    first_candidate = round(gateways * GOLDEN_SECTION)
+    return next(step for step in range(first_candidate, gateways) if math.gcd(step, gateways) == 1)
+
+
 def _hash_order(endpoint: EndpointRecord) -> tuple[int, str]:
     return endpoint_tag(endpoint.entry.id), endpoint.entry.id
--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -1,6 +1,7 @@
-"""Outliers: what each endpoint's attempts showed, and what peers observed of it."""
+"""Outlier detection: the latency and the failure rate of each endpoint, by own and by peers' observations."""
 
 import math
+from typing import NamedTuple
 
 from gateway.gossip.codec import (
     MAX_OBSERVATIONS,
@@ -24,57 +25,78 @@
 PRIOR_OUTCOMES = 2  # assumed successful outcomes at which a failure rate starts
 
 
+class _OwnObservation(NamedTuple):
+    """An observation of an own attempt, and its time."""
+
+    at_ms: float
+    observation: EndpointObservation
+
+
 class OutlierDetector(PolicyComponent):
-    """Learns the latency and the failures of endpoints, as decaying counts in their records."""
+    """Learns latencies and failure rates of endpoints; the decaying counts are in the endpoints' records."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
-        self.class_names = [known.name for known in context.settings.classes]
-        self._observations: list[tuple[float, EndpointObservation]] = []  # first-hand ones, and when
+        self.class_names = [request_class.name for request_class in context.settings.classes]
+        self._own_observations: list[_OwnObservation] = []  # the latest ones, in the order of their times
 
     def latency_factor(self, endpoint: EndpointRecord) -> float:
-        """Return an endpoint's latency against that of the fleet."""
+        """Return an endpoint's latency relative to the mean of the fleet."""
         age_ms = self._turn.now_ms - endpoint.observed_at_ms
-        return 1 + (endpoint.latency_factor - 1) * math.exp(-age_ms / LATENCY_MEMORY_MS)
+        return 1 + (endpoint.latency_factor - 1) * decay(age_ms, LATENCY_MEMORY_MS)
 
-    def failure_share(self, endpoint: EndpointRecord, class_name: str) -> float:
-        """Return the share of a class that an endpoint fails; where little is known, of all classes."""
+    def failure_rate(self, endpoint: EndpointRecord, class_name: str) -> float:
+        """Return the failure rate of a class at an endpoint, drawn towards the rate of all classes."""
         if not endpoint.failures:
             return 0.0
-        fading = math.exp((endpoint.observed_at_ms - self._turn.now_ms) / FAILURE_MEMORY_MS)
-        failures = fading * sum(endpoint.failures.values())
-        overall = failures / (fading * sum(endpoint.outcomes.values()) + PRIOR_OUTCOMES)
-        own_failures = fading * endpoint.failures.get(class_name, 0.0)
-        return (own_failures + overall) / (fading * endpoint.outcomes.get(class_name, 0.0) + 1)
+        remaining = decay(self._turn.now_ms - endpoint.observed_at_ms, FAILURE_MEMORY_MS)
+        all_failures = remaining * sum(endpoint.failures.values())
+        overall_rate = all_failures / (remaining * sum(endpoint.outcomes.values()) + PRIOR_OUTCOMES)
+        class_failures = remaining * endpoint.failures.get(class_name, 0.0)
+        return (class_failures + overall_rate) / (remaining * endpoint.outcomes.get(class_name, 0.0) + 1)
 
     def is_ejected(self, endpoint: EndpointRecord, class_name: str) -> bool:
-        """Return whether an endpoint fails too much of a class to be used where there is a choice."""
-        return self.failure_share(endpoint, class_name) >= EJECTION_THRESHOLD
+        """Return whether an endpoint's failure rate excludes it for a class while there are others."""
+        return self.failure_rate(endpoint, class_name) >= EJECTION_THRESHOLD
 
     def learn(self, endpoint: EndpointRecord, class_name: str, latency_ratio: float, weight: float) -> None:
-        """Take in one outcome: its latency against the expected one, or inf where it failed.
+        """Update an endpoint by one outcome: its latency in expected latencies, or inf for a failure.
 
-        A refusal by an overloaded endpoint is a failure too: else it would look fast and idle, and draw all.
+        A rejection by an overloaded endpoint is a failure as well. Otherwise the endpoint would appear to be
+        fast and idle, and would attract all requests.
         """
         now_ms = self._turn.now_ms
-        latency_factor = self.latency_factor(endpoint)
-        fading = decay(now_ms - endpoint.observed_at_ms, FAILURE_MEMORY_MS)
-        endpoint.outcomes = endpoint.outcomes.faded(fading)
-        endpoint.failures = endpoint.failures.faded(fading)
-        endpoint.outcomes.add(class_name, weight)
-        if latency_ratio == math.inf:
-            endpoint.failures.add(class_name, weight)
-        elif latency_ratio > SILENCE_LATENCY_RATIO:  # it was taken for silence, and is not
-            endpoint.failures[class_name] = max(0.0, endpoint.failures.get(class_name, 0.0) - weight)
-        if latency_ratio < math.inf:  # against the fleet's mean: a slowdown of all blames none
-            bounded = min(MAX_LATENCY_RATIO, latency_ratio)
-            latency_factor += (bounded - latency_factor) * LATENCY_FACTOR_GAIN * weight
-        endpoint.latency_factor = latency_factor
+        endpoint.latency_factor = self._updated_latency_factor(endpoint, latency_ratio, weight)
+        self._count_outcome(endpoint, class_name, latency_ratio, weight)
         endpoint.observed_at_ms = now_ms
         if weight > MAX_GOSSIP_WEIGHT:
-            seen = observe(endpoint.entry.id, self.class_names.index(class_name), latency_ratio)
-            self._observations = [*self._observations[1 - MAX_OBSERVATIONS :], (now_ms, seen)]
+            observation = observe(endpoint.entry.id, self.class_names.index(class_name), latency_ratio)
+            latest = self._own_observations[1 - MAX_OBSERVATIONS :]
+            self._own_observations = [*latest, _OwnObservation(now_ms, observation)]
 
     def fresh_observations(self) -> list[EndpointObservation]:
-        """Return the first-hand observations of late, to be passed on."""
-        return [seen for at_ms, seen in self._observations if self._turn.now_ms - at_ms <= MAX_GOSSIP_AGE_MS]
+        """Return the own observations that are recent enough to be sent to peers."""
+        now_ms = self._turn.now_ms
+        return [own.observation for own in self._own_observations if now_ms - own.at_ms <= MAX_GOSSIP_AGE_MS]
+
+    def _updated_latency_factor(self, endpoint: EndpointRecord, latency_ratio: float, weight: float) -> float:
+        """Return the latency factor with one sample added; a failure is no sample."""
+        latency_factor = self.latency_factor(endpoint)
+        if latency_ratio < math.inf:
+            bounded_ratio = min(MAX_LATENCY_RATIO, latency_ratio)
+            latency_factor += (bounded_ratio - latency_factor) * LATENCY_FACTOR_GAIN * weight
+        return latency_factor
+
+    def _count_outcome(
+        self, endpoint: EndpointRecord, class_name: str, latency_ratio: float, weight: float
+    ) -> None:
+        remaining = decay(self._turn.now_ms - endpoint.observed_at_ms, FAILURE_MEMORY_MS)
+        endpoint.outcomes = endpoint.outcomes.decayed(remaining)
+        endpoint.failures = endpoint.failures.decayed(remaining)
+        endpoint.outcomes.add(class_name, weight)
+        if latency_ratio == math.inf:
+            endpoint.failures.add(class_name, weight)
+        elif latency_ratio > SILENCE_LATENCY_RATIO:
+            # The silence of this attempt was counted as a failure, which the response disproves.
+            failures = endpoint.failures.get(class_name, 0.0)
+            endpoint.failures[class_name] = max(0.0, failures - weight)
--- a/gateway/policy/endpoints/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -1,14 +1,14 @@
-"""Slow start: an endpoint whose process has just started gets a part of the load that grows with its age.
+"""Slow start: an endpoint that has just started gets a fraction of its load that grows with its age.
 
-Danger: one that all gateways together overload then fails for good. So chance decides, once for each attempt:
-over all gateways it gets the part that its capacity is of the fleet's of late.
+An endpoint in slow start fails permanently if all gateways together overload it. The attempts for such an
+endpoint are therefore drawn at random. Over all gateways it gets the fraction of the requests that it has of
+the fleet's capacity.
 """
 
 from gateway.interface.events import Endpoint
 from gateway.interface.settings import Settings
-from gateway.policy.context import PolicyComponent, PolicyContext
+from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
-from gateway.policy.dispatch.fuzzy_share import PERIOD_MS
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.requests.request_record import RequestRecord
 
@@ -16,8 +16,8 @@
 DRAW_MEMORY_MS = 1000.0  # time constant of the counts of requests and draws
 
 
-def capacity_part(settings: Settings, now_ms: float, endpoint: Endpoint) -> float:
-    """Return the part of its full capacity that an endpoint surely has by now."""
+def capacity_fraction(settings: Settings, now_ms: float, endpoint: Endpoint) -> float:
+    """Return the fraction of its full capacity that an endpoint has reached."""
     age_ms = now_ms - endpoint.started_ms
     if not endpoint.started_ms or age_ms >= settings.slow_start_ms:
         return 1.0
@@ -26,36 +26,38 @@
 
 
 class SlowStartLottery(PolicyComponent):
-    """Draws which attempts go to endpoints in slow start."""
+    """Draws the attempts that go to endpoints in slow start."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
-        self._requests = 0.0  # decaying count of the requests that tried,
-        self._tries = 0.0  # and of all their tries
+        self._requests = 0.0  # decaying count of the requests that took part in draws
+        self._draws = 0.0  # decaying count of all draws
 
     def step(self) -> None:
-        """Let one period's counts fade."""
-        kept = decay(PERIOD_MS, DRAW_MEMORY_MS)
-        self._requests = self._requests * kept
-        self._tries = self._tries * kept
+        """Let the counts decay by one period."""
+        remaining = decay(PERIOD_MS, DRAW_MEMORY_MS)
+        self._requests = self._requests * remaining
+        self._draws = self._draws * remaining
 
     def draw(
         self, request: RequestRecord, starting: list[EndpointRecord], fleet_capacity: float
     ) -> EndpointRecord | None:
-        """Return the endpoint in slow start that the request is to go to, for most requests none.
+        """Return the endpoint in slow start that a request has drawn, or None, which is the usual result.
 
-        `fleet_capacity` carried the load of late. Further tries of a request lower the chance of all: the
-        parts are of requests, not of tries.
+        `fleet_capacity` is the capacity that carries the load, in endpoints at full capacity. The fractions
+        apply to requests: where requests draw repeatedly, the chance of each draw decreases accordingly.
         """
         if not starting or self._turn.now_ms < request.slow_start_retry_at_ms:
             return None
-        self._requests += not request.slow_start_tries
-        self._tries += 1
-        request.slow_start_tries += 1
+        if not request.slow_start_draws:
+            self._requests += 1
+        self._draws += 1
+        request.slow_start_draws += 1
         request.slow_start_retry_at_ms = self._turn.now_ms + REDRAW_MS
-        ticket = self._rng.random() * fleet_capacity * max(1.0, self._tries / max(1.0, self._requests))
+        draws_per_request = max(1.0, self._draws / max(1.0, self._requests))
+        ticket = self._rng.random() * fleet_capacity * draws_per_request
         for endpoint in starting:
-            ticket -= capacity_part(self._settings, self._turn.now_ms, endpoint.entry)
+            ticket -= capacity_fraction(self._settings, self._turn.now_ms, endpoint.entry)
             if ticket < 0:
                 return endpoint
         return None
--- a/gateway/policy/gossip/outbox.py
+++ b/gateway/policy/gossip/outbox.py
@@ -1,24 +1,46 @@
-"""The quota entries that wait to be sent to other gateways."""
+"""The outbox of quota entries for other gateways."""
 
 from __future__ import annotations
 
+from collections.abc import Iterator
+from typing import NamedTuple
+
 from gateway.gossip.codec import MAX_ENTRIES, QuotaEntry
 
 
-class EntryOutbox(dict[int, list[QuotaEntry]]):
-    """Queues of entries by gateway; a message takes as many of one as it holds."""
+class OutgoingMessage(NamedTuple):
+    """The entries of one message, and the gateway to which it goes."""
+
+    gateway: int
+    entries: list[QuotaEntry]
+
+
+class EntryOutbox:
+    """Queues of entries by gateway."""
+
+    def __init__(self) -> None:
+        """Start with no entry."""
+        self._queues: dict[int, list[QuotaEntry]] = {}
+
+    def __bool__(self) -> bool:
+        """Return whether any entry is queued."""
+        return bool(self._queues)
+
+    def __iter__(self) -> Iterator[int]:
+        """Iterate over the gateways for which entries are queued."""
+        return iter(self._queues)
 
     def add(self, gateway: int, entry: QuotaEntry) -> None:
-        """Let an entry wait for the next message to a gateway."""
-        self.setdefault(gateway, []).append(entry)
+        """Queue an entry for the next message to a gateway."""
+        self._queues.setdefault(gateway, []).append(entry)
 
-    def take(self, gateways: list[int]) -> list[tuple[int, list[QuotaEntry]]]:
-        """Return a message's entries for each of these gateways.
+    def take(self, gateways: list[int]) -> list[OutgoingMessage]:
+        """Remove and return one message for each of these gateways.
 
-        What a message does not hold goes with the next one: lost here, it would be asked for again.
+        Entries beyond the size of a message stay queued. Raises KeyError for a gateway without entries.
         """
-        taken = [(gateway, self.pop(gateway)) for gateway in gateways]
-        for gateway, entries in taken:
+        queues = [(gateway, self._queues.pop(gateway)) for gateway in gateways]
+        for gateway, entries in queues:
             if len(entries) > MAX_ENTRIES:
-                self[gateway] = entries[MAX_ENTRIES:]
-        return [(gateway, entries[:MAX_ENTRIES]) for gateway, entries in taken]
+                self._queues[gateway] = entries[MAX_ENTRIES:]
+        return [OutgoingMessage(gateway, entries[:MAX_ENTRIES]) for gateway, entries in queues]
--- a/gateway/policy/quota/entry_sender.py
+++ b/gateway/policy/quota/entry_sender.py
@@ -1,4 +1,4 @@
-"""The interface by which quota entries are sent to other gateways."""
+"""The interface by which the quota components send entries to gateways."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EntrySender(Protocol):
-    """Sends a quota entry to a gateway, which may be this one; an incarnation names the process it is for."""
+    """Sends a quota entry to a gateway, which may be this one."""
 
     def __call__(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
-        """Send it."""
+        """Send an entry; an incarnation selects one of the gateway's processes during a hot restart."""
--- a/gateway/policy/quota/leader_bucket.py
+++ b/gateway/policy/quota/leader_bucket.py
@@ -1,4 +1,4 @@
-"""One customer's quota at its leader: the bucket, and the lease requests that wait for it."""
+"""One customer's bucket at its quota leader, with the lease requests that are queued for it."""
 
 from __future__ import annotations
 
@@ -8,11 +8,13 @@
 
 from gateway.gossip.codec import QuotaEntry
 from gateway.interface.settings import Plan
-from gateway.policy.decay import decay
+from gateway.policy.quota.ceiling import LEADER_CEILING_FRACTION
+from gateway.policy.quota.demand import decayed_demand
+from gateway.policy.quota.token_bucket import refilled_level
 
 
 class LeaseKey(NamedTuple):
-    """A lease as its leader knows it: by the gateway that asked, that one's incarnation, and its lease id."""
+    """The key of a lease at its leader: the requesting gateway, its incarnation, and its lease id."""
 
     gateway: int
     incarnation: int
@@ -21,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class LeaseRequest:
-    """A request that waits at its customer's quota leader."""
+    """A lease request that is queued at its customer's quota leader."""
 
     key: LeaseKey
     entry: QuotaEntry
@@ -34,56 +36,64 @@
 class LeaderBucket:
     """One customer's quota at its leader."""
 
-    name: int  # of the customer and its plan, as entries have it
+    name: int  # identifies the customer and its plan, as in QuotaEntry.bucket_name
     plan: Plan
-    level: float
+    level: float  # units that the quota holds; negative after admissions without a grant
     refilled_at_ms: float
-    ceiling_level: float = 0.0  # of the leader's part of the ceiling
-    demand: float = 0.0  # decaying sum of units asked by all gateways
+    ceiling_level: float = 0.0  # units in the leader's fraction of the ceiling
+    demand: float = 0.0  # decaying sum of units requested by all gateways
     queue: list[LeaseRequest] = field(default_factory=list)
-    slots: dict[LeaseKey, float] = field(default_factory=dict)  # of requests in flight, until when at most
-    granted: dict[LeaseKey, float] = field(default_factory=dict)  # granted, or told as used, and when
-    serve_at_ms: float = math.inf  # when the bucket looks at its queue again
+    slots: dict[LeaseKey, float] = field(default_factory=dict)  # requests in flight, with their expiry times
+    granted: dict[LeaseKey, float] = field(default_factory=dict)  # leases granted or used, with their times
+    serve_at_ms: float = math.inf  # when the queue is served next; inf where that is not scheduled
 
-    def refill(self, now_ms: float, ceiling_part: float, demand_memory_ms: float) -> None:
-        """Fill the bucket for the time that has passed; it holds that part of the plan's ceiling."""
+    def refill(self, now_ms: float) -> None:
+        """Update the demand, the quota and the ceiling for the time since the last refill."""
         plan = self.plan
-        elapsed_s = (now_ms - self.refilled_at_ms) / 1000
+        elapsed_s = self._elapsed_s(now_ms)
         self.refilled_at_ms = now_ms
-        self.demand *= decay(elapsed_s * 1000, demand_memory_ms)
-        self.level = min(plan.burst, self.level + plan.rate_per_s * elapsed_s)
-        ceiling_level = self.ceiling_level + plan.ceiling_per_s * ceiling_part * elapsed_s
-        self.ceiling_level = min(plan.ceiling_burst * ceiling_part, ceiling_level)
+        self.demand = decayed_demand(self.demand, elapsed_s)
+        self.level = refilled_level(self.level, plan.rate_per_s, elapsed_s, plan.burst)
+        self.ceiling_level = self._refilled_ceiling(elapsed_s)
 
-    def is_full(self, now_ms: float, ceiling_part: float) -> bool:
-        """Return whether the bucket would be full by now, and nothing is booked in it."""
+    def is_replaceable(self, now_ms: float) -> bool:
+        """Return whether a new bucket would hold no more: this one is full, with no lease outstanding."""
         plan = self.plan
-        elapsed_s = (now_ms - self.refilled_at_ms) / 1000
+        elapsed_s = self._elapsed_s(now_ms)
         if self.queue or self.serve_at_ms != math.inf or any(until > now_ms for until in self.slots.values()):
             return False
-        if self.level + plan.rate_per_s * elapsed_s < plan.burst:
+        if refilled_level(self.level, plan.rate_per_s, elapsed_s, plan.burst) < plan.burst:
             return False
-        ceiling_level = self.ceiling_level + plan.ceiling_per_s * ceiling_part * elapsed_s
-        return not plan.ceiling_per_s or ceiling_level >= plan.ceiling_burst * ceiling_part
+        return not plan.ceiling_per_s or self._refilled_ceiling(elapsed_s) >= self._ceiling_capacity()
 
-    def has_queued(self, key: LeaseKey) -> bool:
-        """Return whether a lease request waits."""
-        return any(waiting.key == key for waiting in self.queue)
+    def is_queued(self, key: LeaseKey) -> bool:
+        """Return whether a lease request is in the queue."""
+        return any(queued.key == key for queued in self.queue)
 
     def drop_queued(self, key: LeaseKey) -> None:
-        """Take a lease request out of the queue, if it is there."""
-        self.queue = [waiting for waiting in self.queue if waiting.key != key]
+        """Remove a lease request from the queue, if it is there."""
+        self.queue = [queued for queued in self.queue if queued.key != key]
 
     def drop_expired(self, now_ms: float) -> None:
-        """Take out the lease requests and the slots whose time is over."""
-        self.queue = [waiting for waiting in self.queue if waiting.expires_at_ms > now_ms]
+        """Remove the lease requests and the slots that have expired."""
+        self.queue = [queued for queued in self.queue if queued.expires_at_ms > now_ms]
         if self.slots:
             self.slots = {key: until_ms for key, until_ms in self.slots.items() if until_ms > now_ms}
 
     def oldest_grant_ms(self) -> float:
-        """Return when the first grant was made that is remembered."""
+        """Return the time of the oldest grant that is remembered."""
         return next(iter(self.granted.values()))
 
-    def forget_granted(self, now_ms: float, age_ms: float) -> None:
-        """Forget what was granted longer ago than that."""
-        self.granted = {key: at_ms for key, at_ms in self.granted.items() if now_ms - at_ms <= age_ms}
+    def drop_grants(self, now_ms: float, max_age_ms: float) -> None:
+        """Drop the grants that are older than `max_age_ms`."""
+        self.granted = {key: at_ms for key, at_ms in self.granted.items() if now_ms - at_ms <= max_age_ms}
+
+    def _elapsed_s(self, now_ms: float) -> float:
+        return (now_ms - self.refilled_at_ms) / 1000
+
+    def _refilled_ceiling(self, elapsed_s: float) -> float:
+        rate_per_s = self.plan.ceiling_per_s * LEADER_CEILING_FRACTION
+        return refilled_level(self.ceiling_level, rate_per_s, elapsed_s, self._ceiling_capacity())
+
+    def _ceiling_capacity(self) -> float:
+        return self.plan.ceiling_burst * LEADER_CEILING_FRACTION
--- a/gateway/policy/quota/lease_table.py
+++ b/gateway/policy/quota/lease_table.py
@@ -1,4 +1,4 @@
-"""The lease requests that have not been answered, by their ids."""
+"""The requests that have sent lease requests, by their lease ids."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class LeaseTable:
-    """Gives requests their lease ids, and finds the requests that replies are about."""
+    """Assigns lease ids to requests, and finds the requests that replies concern."""
 
     def __init__(self, settings: Settings) -> None:
-        """Begin with no request."""
+        """Start with no request."""
         self._settings = settings
         self._requests: dict[int, RequestRecord] = {}
         self.last_id = 0
 
     def entry(self, kind: EntryKind, request: RequestRecord, demand_per_s: float) -> QuotaEntry:
-        """Return an entry about a request, which gets its lease id with the first one."""
+        """Return an entry about a request, which gets its lease id with its first entry."""
         if not request.lease_id:
             self.last_id = self.last_id % MAX_LEASE_ID + 1
             request.lease_id = self.last_id
@@ -35,12 +35,12 @@
         )
 
     def find(self, sender: int, entry: QuotaEntry) -> RequestRecord | None:
-        """Return the request that a leader's reply is about, unless nobody waits for it any more."""
+        """Return the open request that a leader's reply concerns, or None."""
         request = self._requests.get(entry.lease_id)
         if request is None or request.account.customer_tag != entry.customer_tag:
             return None
         return request if request.account.leader == sender else None
 
     def remove(self, request: RequestRecord) -> None:
-        """Expect no reply for a request any more."""
+        """Remove a request that expects no more replies."""
         self._requests.pop(request.lease_id, None)
--- a/gateway/policy/requests/__init__.py
+++ b/gateway/policy/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests: their way to a final answer, and their attempts."""
+"""Requests: their course from arrival to final answer, and their attempts."""
--- a/gateway/policy/requests/attempt_table.py
+++ b/gateway/policy/requests/attempt_table.py
@@ -1,4 +1,4 @@
-"""The attempts that have not ended."""
+"""The attempts that are in flight."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """An attempt, by its request and its number."""
+    """The key of an attempt: its request, and its number within the request."""
 
     request_id: int
     number: int
@@ -24,14 +24,14 @@
 
     endpoint: EndpointRecord
     request_class: RequestClass
-    is_executing: bool = True  # False while its request or its response is still on the way through us
+    is_executing: bool = True  # False while the request or the response is being transmitted
 
 
 class AttemptTable:
-    """The attempts that have not ended, also of requests that have, and which of them are being executed."""
+    """The attempts that have not ended, including those of ended requests."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Start with no attempt."""
         self._records: dict[AttemptKey, AttemptRecord] = {}
 
     def __contains__(self, key: AttemptKey) -> bool:
@@ -39,11 +39,11 @@
         return key in self._records
 
     def __iter__(self) -> Iterator[AttemptRecord]:
-        """Iterate over the attempts in the order of their sends."""
+        """Iterate over the attempts in the order in which they were sent."""
         return iter(self._records.values())
 
     def add(self, request: RequestRecord, endpoint: EndpointRecord, now_ms: float) -> AttemptKey:
-        """Add a request's next attempt, which its endpoint executes."""
+        """Add a request's next attempt, which counts as executing at its endpoint."""
         key = AttemptKey(request.id, request.attempts)
         self._records[key] = AttemptRecord(endpoint, request.request_class)
         endpoint.in_flight += 1
@@ -57,7 +57,7 @@
         return key
 
     def set_executing(self, key: AttemptKey, is_executing: bool) -> int:
-        """Say whether its endpoint executes an attempt; return by how many more that is."""
+        """Set whether an attempt is executing; return the change in the number of executing attempts."""
         attempt = self._records.get(key)
         if attempt is None or attempt.is_executing == is_executing:
             return 0
@@ -67,5 +67,5 @@
         return change
 
     def pop(self, key: AttemptKey) -> AttemptRecord:
-        """Take out an attempt that has ended."""
+        """Remove an attempt that has ended, and return its record; raises KeyError for an unknown attempt."""
         return self._records.pop(key)
--- a/gateway/policy/requests/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: how a request is sent, when it is retried or hedged, and what an attempt's end shows."""
+"""Attempts: sending, retrying and hedging requests, and learning from the results."""
 
 import math
 from collections.abc import Iterable
@@ -24,10 +24,13 @@
 MAX_HEDGE_UTILIZATION = 0.7  # fraction of the concurrency limit in use that still permits hedges
 RETRIES_PER_REQUEST = 0.2  # retry budget earned by each first attempt, in retries and hedges
 MAX_RETRY_BUDGET = 20.0  # upper bound of the retry budget, in retries and hedges
+MIN_ATTEMPT_TIMEOUT_MS = 1.0  # lower bound of an attempt's timeout
+
+_INCONCLUSIVE_RESULTS = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
 
 
 class AttemptManager(PolicyComponent):
-    """Starts attempts, and learns from their ends."""
+    """Starts attempts, and updates the estimates of latencies and endpoints when they end."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
@@ -38,13 +41,13 @@
         self.retry_budget = MAX_RETRY_BUDGET / 2
 
     def start(self, request: RequestRecord) -> bool:
-        """Send a request to one more endpoint; False where none may have it."""
+        """Send a request to one more endpoint; return False where none is eligible."""
         endpoint = self.selector.choose(request, self._eligible(request))
         if endpoint is None or request.attempts >= self._settings.max_attempts:
             return False
         if request.attempts == 0:
             self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
-        timeout_ms = max(1.0, request.arrival.deadline_at_ms - self._turn.now_ms)
+        timeout_ms = max(MIN_ATTEMPT_TIMEOUT_MS, request.arrival.deadline_at_ms - self._turn.now_ms)
         send_by_ms = self.resend_deadline_ms(request)
         self._act(SendAttempt(request.id, endpoint.entry.id, timeout_ms, send_by_ms))
         key = self.table.add(request, endpoint, self._turn.now_ms)
@@ -55,25 +58,25 @@
         return True
 
     def retry(self, request: RequestRecord) -> bool:
-        """Start a retry or a hedge, where it can still be in time and the budget allows it."""
-        answer_at_ms = self._turn.now_ms + self.latencies.reserve_ms(request.request_class)
-        is_late = answer_at_ms > min(request.objective_at_ms, request.arrival.deadline_at_ms)
+        """Start a retry or a hedge if it can still be answered in time and the retry budget permits it."""
+        response_at_ms = self._turn.now_ms + self.latencies.reserve_ms(request.request_class)
+        is_late = response_at_ms > min(request.objective_at_ms, request.arrival.deadline_at_ms)
         if is_late or request.body_released or self.retry_budget < 1 or not self.start(request):
             return False
         self.retry_budget -= 1
         return True
 
     def hedge(self, request: RequestRecord) -> None:
-        """Send a second copy of a request whose attempt takes too long, while there is room."""
-        if not self._turn.stalled:  # silence is a failure too
+        """Send a hedge of a request whose attempt is silent, while the concurrency limit leaves capacity."""
+        if not self._turn.follows_stall:
             for endpoint in request.in_flight.values():
                 self.selector.outliers.learn(endpoint, request.request_class.name, math.inf, SILENCE_WEIGHT)
-        has_room = self.limiter.in_flight.mean < MAX_HEDGE_UTILIZATION * self.limiter.limit
-        if self._settings.may_hedge and has_room and len(request.in_flight) == 1:
+        has_capacity = self.limiter.in_flight.mean < MAX_HEDGE_UTILIZATION * self.limiter.limit
+        if self._settings.may_hedge and has_capacity and len(request.in_flight) == 1:
             self.retry(request)
 
     def hedge_withdrawn(self, requests: Iterable[RequestRecord], withdrawn: list[EndpointRecord]) -> None:
-        """Send second copies of idempotent requests whose only endpoint, now withdrawn, may be dead."""
+        """Hedge idempotent requests whose only attempt is at an endpoint that is no longer ready."""
         for request in requests:
             is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
             endpoints = list(request.in_flight.values())
@@ -82,16 +85,16 @@
                 self.retry(request)
 
     def schedule_hedge(self, request: RequestRecord) -> None:
-        """Plan to look at a request again when its attempt has taken too long."""
+        """Schedule the hedge of a request for the time when its attempt counts as silent."""
         expected_ms = self.latencies.expected_ms[request.request_class.name]
         hedge_ms = max(MIN_HEDGE_MS, SILENCE_LATENCY_RATIO * expected_ms)
         self._schedule(self._turn.now_ms + hedge_ms, TimerKind.HEDGE, request.id)
 
     def resend_deadline_ms(self, request: RequestRecord) -> float:
-        """Return the time by which one more attempt has to be sent whole.
+        """Return the time by which the last byte of one more attempt has to be sent.
 
-        Endpoints drop a duplicate within the deduplication window, which runs from the first attempt's send.
-        The time is inf where a duplicate does no harm, -inf where it always does.
+        Endpoints drop a duplicate within the deduplication window, which starts when the first attempt is
+        sent. The time is inf where a duplicate is harmless, and -inf where it never is.
         """
         request_class = request.request_class
         if not request.possibly_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -101,12 +104,12 @@
         return request.key_sent_at_ms + request_class.deduplication_window_ms - self._settings.tick_ms
 
     def set_executing(self, key: AttemptKey, is_executing: bool) -> None:
-        """Say whether an endpoint executes an attempt; only then it counts for the concurrency limit."""
+        """Set whether an attempt is executing; only executing attempts count for the concurrency limit."""
         if change := self.table.set_executing(key, is_executing):
             self.limiter.count(change)
 
     def end(self, event: AttemptEnded, request: RequestRecord | None) -> None:
-        """Take in the end of an attempt in the table, and what it shows."""
+        """Remove an ended attempt and learn from its result; `request` is None if it has ended before."""
         key = AttemptKey(event.id, event.attempt)
         self.set_executing(key, False)
         attempt = self.table.pop(key)
@@ -119,16 +122,17 @@
             request.possibly_executed -= event.result.proves_not_executed
 
     def cancel(self, request: RequestRecord, keep: int | None = None) -> None:
-        """Call off a request's attempts that are in flight, but for the one to keep."""
+        """Cancel a request's attempts in flight, except for the one with the number `keep`."""
         if self._settings.may_cancel:
             for number in request.in_flight:
                 if number != keep:
                     self._act(CancelAttempt(request.id, number))
 
     def _eligible(self, request: RequestRecord) -> Eligible:
-        first = request.key_endpoint
+        """Return the endpoints at which the request's idempotency key protects against a second execution."""
+        key_endpoint = request.key_endpoint
         resend_deadline_ms = self.resend_deadline_ms(request)
-        if first is None or resend_deadline_ms == math.inf:
+        if key_endpoint is None or resend_deadline_ms == math.inf:
             return None
         if resend_deadline_ms <= self._turn.now_ms:
             return []
@@ -136,18 +140,18 @@
         if scope is KeyScope.ALL:
             return None
         ready = self.selector.directory.warm + self.selector.directory.starting
-        return [endpoint for endpoint in ready if endpoint.entry.shares_keys_with(first, scope)]
+        return [endpoint for endpoint in ready if endpoint.entry.shares_keys_with(key_endpoint, scope)]
 
     def _learn(self, event: AttemptEnded, attempt: AttemptRecord, *, is_streaming: bool) -> None:
-        # After a stall our own pause would be taken for the endpoint's slowness.
-        name = attempt.request_class.name
+        """Update the estimates; after a stall, latencies would include the stall of this process."""
+        class_name = attempt.request_class.name
         latency_ratio = math.inf
         if event.result is AttemptResult.OK:
-            if not is_streaming:  # else it counted when its response started
+            if not is_streaming:  # a streaming response is counted when it starts
                 self.limiter.on_answered(attempt.request_class.latency_objective_ms)
-            latency_ratio = event.elapsed_ms / self.latencies.expected_ms[name]
-            if not self._turn.stalled:
-                self.latencies.learn(name, event.elapsed_ms)
-        tells_nothing = event.result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
-        if not tells_nothing and not self._turn.stalled:
-            self.selector.outliers.learn(attempt.endpoint, name, latency_ratio, OWN_OUTCOME_WEIGHT)
+            latency_ratio = event.elapsed_ms / self.latencies.expected_ms[class_name]
+            if not self._turn.follows_stall:
+                self.latencies.learn(class_name, event.elapsed_ms)
+        is_conclusive = event.result not in _INCONCLUSIVE_RESULTS
+        if is_conclusive and not self._turn.follows_stall:
+            self.selector.outliers.learn(attempt.endpoint, class_name, latency_ratio, OWN_OUTCOME_WEIGHT)
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -1,4 +1,4 @@
-"""The way of a request from its arrival to its one final answer."""
+"""The course of a request from its arrival to its only final answer."""
 
 import math
 from dataclasses import replace
@@ -29,11 +29,11 @@
 
 
 class RequestFlow(PolicyComponent):
-    """The open requests, and the parts that decide on them."""
+    """The open requests, and the components that decide on them."""
 
     def __init__(self, context: PolicyContext, send: EntrySender) -> None:
         super().__init__(context)
-        self._classes = {known.name: known for known in context.settings.classes}
+        self._classes = {request_class.name: request_class for request_class in context.settings.classes}
         self._plans = {plan.name: plan for plan in context.settings.plans}
         self.open: dict[int, RequestRecord] = {}
         self.attempts = AttemptManager(context)
@@ -42,11 +42,12 @@
         self.lease_client = LeaseClient(context, listener=self, send=send)
 
     def on_arrival(self, arrival: RequestArrived) -> None:
-        """Take in a new request: it is admitted, waits for its quota, or is rejected at once."""
+        """Open a new request: it is admitted, waits for its quota, or is rejected at once."""
         request_class = self._classes.get(arrival.class_name)
         plan = self._plans.get(arrival.plan_name)
-        is_known = arrival.id in self.open
-        if request_class is None or plan is None or arrival.deadline_at_ms <= self._turn.now_ms or is_known:
+        is_duplicate = arrival.id in self.open
+        is_expired = arrival.deadline_at_ms <= self._turn.now_ms
+        if request_class is None or plan is None or is_expired or is_duplicate:
             self._act(Reject(arrival.id))
             return
         account = self.lease_client.accounts.refill(arrival, plan)
@@ -60,7 +61,7 @@
             self.dispatcher.enqueue(request)
 
     def on_completed(self, request: RequestRecord, event: RequestCompleted) -> None:
-        """The last byte of a large request has been received: its time begins."""
+        """Handle the last byte of a large request, from which its objective and its deadline count."""
         request.is_complete = True
         request.arrival = replace(request.arrival, deadline_at_ms=event.deadline_at_ms)
         request.objective_at_ms = self._turn.now_ms + request.request_class.latency_objective_ms
@@ -71,14 +72,14 @@
             self.attempts.schedule_hedge(request)
 
     def on_response_started(self, request: RequestRecord, event: ResponseStarted) -> None:
-        """A streaming response has started: its attempt alone goes on."""
+        """Handle the start of a streaming response: all other attempts are cancelled."""
         request.phase = RequestPhase.STREAMING
         self.attempts.limiter.on_answered(request.request_class.latency_objective_ms)
         self.attempts.set_executing(AttemptKey(event.id, event.attempt), False)
         self.attempts.cancel(request, keep=event.attempt)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """An attempt has ended: its request has ended with it, is retried, or gets its final answer."""
+        """Handle the end of an attempt: its request is closed, is retried, or gets its final answer."""
         if AttemptKey(event.id, event.attempt) not in self.attempts.table:
             return
         request = self.open.get(event.id)
@@ -91,9 +92,9 @@
             self.give_up(request)
 
     def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
-        """The quota leader says what becomes of a request's quota: GRANT, QUEUED or DENY.
+        """Handle the quota leader's verdict on a request: GRANT, QUEUED or DENY.
 
-        A request that will not have its units now goes on beyond its quota where that pays.
+        Where the plan's overage is worth its cost, a request without a grant is admitted beyond its quota.
         """
         if not request.awaits_quota:
             return
@@ -118,29 +119,19 @@
             case TimerKind.LEASE_EXPIRED:
                 self.on_lease_reply(request, EntryKind.DENY)
             case _ if request.attempts and not request.is_complete:
-                pass  # its time has not begun
+                pass  # the objective and the deadline count from the request's last byte
             case TimerKind.HEDGE:
                 self.attempts.hedge(request)
             case TimerKind.QUEUE_TIMEOUT:
                 self._on_queue_timeout(request)
-            case TimerKind.DEADLINE:  # the guard: an answer before the client's time is up
+            case TimerKind.DEADLINE:
                 self.give_up(request)
 
-    def _on_queue_timeout(self, request: RequestRecord) -> None:
-        """What can no longer be answered in time is rejected while a retry may help."""
-        if request.awaits_quota and self.lease_client.on_reply_overdue(request, is_last=True):
-            self.dispatcher.enqueue(
-                request
-            )  # if it can't be dispatched in this turn, it is given up in the next
-            self._schedule(self._turn.now_ms + self._settings.tick_ms, TimerKind.QUEUE_TIMEOUT, request.id)
-        elif request.attempts == 0:
-            self.give_up(request)
-
     def give_up(self, request: RequestRecord) -> None:
-        """Give the final answer of a request that is not served.
+        """Give the final answer to a request that is not served: Reject or Fail.
 
-        A rejection says that a retry is harmless. Of what was possibly executed that is certain only if all
-        endpoints will still know its key when the client comes again.
+        A rejection promises that a retry by the client is harmless. For a request that was possibly executed,
+        this is certain only if all endpoints still know its idempotency key at the time of the retry.
         """
         refill_ms = request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf)
         retry_after_ms = min(max(DEFAULT_RETRY_AFTER_MS, refill_ms), self._settings.max_retry_after_ms)
@@ -152,7 +143,7 @@
         self.close(request)
 
     def close(self, request: RequestRecord) -> None:
-        """End a request: nothing more is sent of it, and attempts in flight are called off."""
+        """End a request: remove it from all queues and cancel its attempts in flight."""
         self.open.pop(request.id, None)
         request.account.in_flight -= not request.awaits_quota
         if request.phase is RequestPhase.QUEUED:
@@ -160,23 +151,31 @@
         self.lease_client.close(request)
         self.attempts.cancel(request)
 
+    def _on_queue_timeout(self, request: RequestRecord) -> None:
+        """Give up a request that can no longer be answered in time, or admit it optimistically."""
+        if request.awaits_quota and self.lease_client.on_reply_overdue(request, is_last=True):
+            self.dispatcher.enqueue(request)
+            # If the request cannot be dispatched in this turn, the next queue timeout gives it up.
+            self._schedule(self._turn.now_ms + self._settings.tick_ms, TimerKind.QUEUE_TIMEOUT, request.id)
+        elif request.attempts == 0:
+            self.give_up(request)
+
     def _schedule_deadline(self, request: RequestRecord) -> None:
         at_ms = request.arrival.deadline_at_ms - DEADLINE_MARGIN_TICKS * self._settings.tick_ms
         self._schedule(at_ms, TimerKind.DEADLINE, request.id)
 
     def _queue_timeout_at_ms(self, request: RequestRecord) -> float:
-        """Return until when a request may wait for its dispatch.
+        """Return the time until which a request may be queued.
 
-        Waiting must leave time for the answer, and rejected by half of its time a client can use the rest.
+        Queueing has to leave time for the response. It also ends early enough for the client to use the
+        remaining time for a retry elsewhere.
         """
         now_ms = self._turn.now_ms
         deadline_at_ms = request.arrival.deadline_at_ms
-        last_at_ms = deadline_at_ms
+        respond_by_ms = deadline_at_ms
         if request.request_class.late_weight <= 0:
-            last_at_ms = min(deadline_at_ms, request.objective_at_ms)
-        reserved = last_at_ms - self.attempts.latencies.reserve_ms(request.request_class)
-        at_least = now_ms + MAX_RESPONSE_FRACTION * (
-            last_at_ms - now_ms
-        )  # it leaves less than an answer usually takes
-        at_most = now_ms + MAX_QUEUED_FRACTION * (deadline_at_ms - now_ms)
-        return min(at_most, max(reserved, at_least))
+            respond_by_ms = min(deadline_at_ms, request.objective_at_ms)
+        dispatch_by_ms = respond_by_ms - self.attempts.latencies.reserve_ms(request.request_class)
+        earliest_ms = now_ms + MAX_RESPONSE_FRACTION * (respond_by_ms - now_ms)
+        latest_ms = now_ms + MAX_QUEUED_FRACTION * (deadline_at_ms - now_ms)
+        return min(latest_ms, max(dispatch_by_ms, earliest_ms))
--- a/gateway/policy/requests/request_record.py
+++ b/gateway/policy/requests/request_record.py
@@ -1,4 +1,4 @@
-"""One open request."""
+"""The record of one open request."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class RequestPhase(Enum):
-    """How far a request has come."""
+    """The progress of a request."""
 
     AWAITING_QUOTA = "awaiting quota"
-    QUEUED = "queued"  # admitted, and waiting to be dispatched
-    DISPATCHED = "dispatched"
-    STREAMING = "streaming"  # its response has started
+    QUEUED = "queued"  # admitted, and in the dispatch queue
+    DISPATCHED = "dispatched"  # at least one attempt has been sent
+    STREAMING = "streaming"  # the response has started
 
 
 @dataclass(slots=True, eq=False)
@@ -30,26 +30,26 @@
     plan: Plan
     account: CustomerAccount
     arrived_at_ms: float
-    objective_at_ms: float
-    priority: float
+    objective_at_ms: float  # the time at which the latency objective is reached
+    priority: float  # the greater one is dispatched first
     phase: RequestPhase = RequestPhase.AWAITING_QUOTA
-    is_complete: bool = True  # its last byte has been received
-    body_released: bool = False  # a part of its body is no longer held: it can't be sent again
+    is_complete: bool = True  # the last byte has been received
+    body_released: bool = False  # the start of the body has been discarded, so no further attempt is possible
     # Attempts.
-    attempts: int = 0
-    in_flight: dict[int, EndpointRecord] = field(default_factory=dict)  # by the attempt's number
-    tried: list[EndpointRecord] = field(default_factory=list)
-    possibly_executed: int = 0  # attempts in flight, or not proved never to have been executed
-    key_endpoint: Endpoint | None = None  # of the first of these, as it was listed when that was sent,
-    key_sent_at_ms: float = 0.0  # and when that was
-    slow_start_tries: int = 0  # how often an endpoint in slow start was tried for
-    slow_start_retry_at_ms: float = 0.0  # not before then is one tried for again
+    attempts: int = 0  # number of attempts sent
+    in_flight: dict[int, EndpointRecord] = field(default_factory=dict)  # endpoints by attempt number
+    tried: list[EndpointRecord] = field(default_factory=list)  # endpoints of all attempts
+    possibly_executed: int = 0  # attempts that are not proved never to have been executed
+    key_endpoint: Endpoint | None = None  # entry of the first endpoint that may know the idempotency key
+    key_sent_at_ms: float = 0.0  # when the idempotency key was sent to that endpoint
+    slow_start_draws: int = 0  # number of draws for an endpoint in slow start
+    slow_start_retry_at_ms: float = 0.0  # earliest time of the next draw
     # Quota.
-    lease_id: int = 0  # 0: nothing has been said of it to the leader
-    lease_requests: int = 0
-    lease_requested_at_ms: float = 0.0
+    lease_id: int = 0  # 0 before the first entry to the leader
+    lease_requests: int = 0  # number of lease requests sent
+    lease_requested_at_ms: float = 0.0  # when the last lease request was sent
     leader_replied: bool = False
-    units_drawn: float = 0.0
+    units_drawn: float = 0.0  # units taken from the quota
     within_quota: bool = True
 
     @classmethod
@@ -76,10 +76,10 @@
 
     @property
     def awaits_quota(self) -> bool:
-        """Whether it has not been admitted yet."""
+        """Whether the request has not been admitted yet."""
         return self.phase is RequestPhase.AWAITING_QUOTA
 
     @property
     def is_streaming(self) -> bool:
-        """Whether its response has started."""
+        """Whether the response has started."""
         return self.phase is RequestPhase.STREAMING
--- a/gateway/policy/state_transfer/__init__.py
+++ b/gateway/policy/state_transfer/__init__.py
@@ -1,1 +1,1 @@
-"""The state that one process of a gateway exports and the next one restores."""
+"""State transfer: the state that a process exports and its successor restores during a hot restart."""
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timer queue of the pure core: what is to happen when, in one heap."""
+"""The timer queue of the decision package: one heap, from which the controller pops what has expired."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class TimerKind(IntEnum):
-    """What is to happen when a timer expires."""
+    """What a timer is for."""
 
-    PERIOD = auto()  # one step of all controllers and averages
-    SUBSCRIBE = auto()  # ask for endpoint updates
-    GOSSIP_FLUSH = auto()  # send messages that were held back
-    LEADER_SERVE = auto()  # a bucket of the quota leader has enough for the head of its queue
-    LEASE_REPLY_OVERDUE = auto()  # the quota leader has not answered
-    LEASE_EXPIRED = auto()  # the quota leader has dropped a queued lease request by now
-    HEDGE = auto()  # an attempt takes long enough for a second copy
-    QUEUE_TIMEOUT = auto()  # a request that still waits can't be answered in time any more
-    DEADLINE = auto()  # the client's time is up
+    PERIOD = auto()  # the next step of all controllers and averages
+    SUBSCRIBE = auto()  # the next subscription to endpoint updates
+    GOSSIP_FLUSH = auto()  # the entries of a delayed gossip message may be sent
+    LEADER_SERVE = auto()  # a bucket of the quota leader has enough units for the head of its queue
+    LEASE_REPLY_OVERDUE = auto()  # the quota leader has not replied to a lease request
+    LEASE_EXPIRED = auto()  # the quota leader has dropped a queued lease request
+    HEDGE = auto()  # an attempt has taken long enough for a hedge
+    QUEUE_TIMEOUT = auto()  # a queued request can no longer be answered in time
+    DEADLINE = auto()  # the client's deadline is reached
 
 
 REQUEST_TIMERS = (
@@ -33,24 +33,33 @@
     TimerKind.QUEUE_TIMEOUT,
     TimerKind.DEADLINE,
 )
-NO_SUBJECT = -1
+NO_SUBJECT = -1  # subject of a timer that concerns neither a request nor a bucket
 
 
 class Timer(NamedTuple):
-    """A timer's kind, and the request or the bucket that it is about."""
+    """A timer's kind, and the id of the request or the name of the bucket that it concerns."""
 
     kind: TimerKind
     subject: int = NO_SUBJECT
 
 
+class _HeapEntry(NamedTuple):
+    """A scheduled timer, in the order in which the heap sorts timers."""
+
+    at_ms: float
+    sequence_number: int
+    kind: TimerKind
+    subject: int
+
+
 class TimerQueue:
-    """Timers in the order of their times; of equal times the one scheduled first comes first."""
+    """Timers in the order of their times; those of equal times expire in the order of their scheduling."""
 
     def __init__(self) -> None:
-        """Begin with no timer, and no wake-up asked for."""
-        self._heap: list[tuple[float, int, TimerKind, int]] = []  # time, order, kind, subject
-        self._scheduled = 0
-        self._wake_up_at_ms = math.inf  # the wake-up that has been asked for
+        """Start with no timer and no requested wake-up."""
+        self._heap: list[_HeapEntry] = []
+        self._scheduled = 0  # timers scheduled so far
+        self._wake_up_at_ms = math.inf  # time of the wake-up that is requested
 
     def __len__(self) -> int:
         """Return how many timers are scheduled."""
@@ -59,45 +68,50 @@
     @property
     def first_at_ms(self) -> float:
         """When the first timer expires."""
-        return self._heap[0][0]
+        return self._heap[0].at_ms
 
     def schedule(self, at_ms: float, kind: TimerKind, subject: int = NO_SUBJECT) -> None:
-        """Let a timer expire at `at_ms`. It can't be withdrawn: its handler looks whether it matters."""
+        """Schedule a timer. Timers cannot be cancelled: the handler checks whether one still matters."""
         self._scheduled += 1
-        heapq.heappush(self._heap, (at_ms, self._scheduled, kind, subject))
+        heapq.heappush(self._heap, _HeapEntry(at_ms, self._scheduled, kind, subject))
 
     def pop_expired(self, now_ms: float) -> Timer | None:
-        """Take the first timer that has expired at `now_ms`, if there is one."""
-        if not self._heap or self._heap[0][0] > now_ms + CLOCK_RESOLUTION_MS:
+        """Remove and return the first timer that has expired at `now_ms`, if there is one."""
+        if not self._heap or self._heap[0].at_ms > now_ms + CLOCK_RESOLUTION_MS:
             return None
-        _, _, kind, subject = heapq.heappop(self._heap)
-        return Timer(kind, subject)
+        expired = heapq.heappop(self._heap)
+        return Timer(expired.kind, expired.subject)
 
     def on_turn(self, now_ms: float) -> None:
-        """Take note that a turn has begun, by the wake-up that was asked for or otherwise."""
+        """Record that a turn has started; a requested wake-up whose time is reached is over."""
         if now_ms >= self._wake_up_at_ms - CLOCK_RESOLUTION_MS:
             self._wake_up_at_ms = math.inf
 
     def wake_up_in_ms(self, now_ms: float, open_requests: Container[int]) -> float | None:
-        """Return after what time the next wake-up has to come; None where an earlier one has been asked for.
+        """Return the time until the next wake-up, or None where an earlier one is already requested.
 
-        There is one, for what comes first: most timers are of requests that end before, and a wake-up costs a
-        turn and can't be withdrawn.
+        Only one wake-up is requested, for the first timer that matters: a wake-up costs a turn and cannot be
+        withdrawn, and most timers concern requests that end before the timer expires.
         """
-        heap = self._heap
-        while heap[0][2] in REQUEST_TIMERS and heap[0][3] not in open_requests:
-            heapq.heappop(heap)
-        first_at_ms = heap[0][0]
+        self._drop_stale_head(open_requests)
+        first_at_ms = self._heap[0].at_ms
         if first_at_ms >= self._wake_up_at_ms:
             return None
         self._wake_up_at_ms = first_at_ms
         return max(0.0, first_at_ms - now_ms)
 
     def compact(self, open_requests: Mapping[int, object]) -> None:
-        """Drop the timers of requests that have ended, where there are many."""
+        """Drop the timers of ended requests if the queue has grown large."""
         if len(self._heap) <= MAX_STALE_TIMERS + len(REQUEST_TIMERS) * len(open_requests):
             return
-        self._heap = [
-            entry for entry in self._heap if entry[2] not in REQUEST_TIMERS or entry[3] in open_requests
-        ]
+        self._heap = [entry for entry in self._heap if not _is_stale(entry, open_requests)]
         heapq.heapify(self._heap)
+
+    def _drop_stale_head(self, open_requests: Container[int]) -> None:
+        while _is_stale(self._heap[0], open_requests):
+            heapq.heappop(self._heap)
+
+
+def _is_stale(entry: _HeapEntry, open_requests: Container[int]) -> bool:
+    """Return whether a timer concerns a request that has ended."""
+    return entry.kind in REQUEST_TIMERS and entry.subject not in open_requests
--- a/tests/policy/endpoints/test_directory.py
+++ b/tests/policy/endpoints/test_directory.py
@@ -25,7 +25,7 @@
 
 def parts(gateways, servers):
     return [
-        EndpointDirectory(PolicyContext(settings(number=n, gateways=gateways), 1)).preferred_part(servers)
+        EndpointDirectory(PolicyContext(settings(number=n, gateways=gateways), 1)).preferred_subset(servers)
         for n in range(gateways)
     ]
 
--- a/tests/policy/endpoints/test_outlier_detection.py
+++ b/tests/policy/endpoints/test_outlier_detection.py
@@ -66,6 +66,6 @@
     controller.handle(0.0, [EndpointUpdate(tuple(servers))])
     seen = [messages.observe(name, 0, float("inf")) for name in (names[0], "lone")]
     controller.handle(4.0, [GossipReceived(1, messages.encode(5, 1.0, [], seen))])
-    known = controller.directory.table.known
-    failing = [controller.selector.outliers.failure_share(known[one.id], "look") for one in servers]
+    known = controller.directory.table.by_id
+    failing = [controller.selector.outliers.failure_rate(known[one.id], "look") for one in servers]
     assert failing[:2] == [0.0, 0.0] and failing[2] > 0
--- a/tests/policy/quota/test_accounts.py
+++ b/tests/policy/quota/test_accounts.py
@@ -14,8 +14,8 @@
 def forget(controller, now):
     """Forget customers as if that time had come."""
     controller.context.turn.now_ms = now
-    controller.flow.lease_client.accounts.forget(controller.flow.open.values())
-    controller.flow.leader.forget()
+    controller.flow.lease_client.accounts.drop_idle(controller.flow.open.values())
+    controller.flow.leader.drop_idle()
 
 
 def test_account_is_dropped_only_when_full_and_without_open_requests():
--- a/tests/policy/requests/test_streamed_requests.py
+++ b/tests/policy/requests/test_streamed_requests.py
@@ -52,18 +52,18 @@
     gate = gateway()
     (send,) = [one for one in gate.handle(0.0, [SIX_ENDPOINTS, large(1)]) if isinstance(one, SendAttempt)]
     assert gate.flow.attempts.limiter.in_flight.value == 0 and not any(
-        known.in_flight for known in gate.directory.table.known.values()
+        known.in_flight for known in gate.directory.table.by_id.values()
     )
     gate.handle(4.0, [RequestCompleted(1, 1504.0)])
     assert (
         gate.flow.attempts.limiter.in_flight.value == 1
-        and gate.directory.table.known[send.endpoint].in_flight == 1
+        and gate.directory.table.by_id[send.endpoint].in_flight == 1
     )
     gate.handle(8.0, [ResponseStarted(1, 0, send.endpoint)])
     assert gate.flow.attempts.limiter.in_flight.value == 0
     gate.handle(12.0, [AttemptEnded(1, 0, send.endpoint, 8.0, AttemptResult.OK, True)])
     assert (
         gate.flow.attempts.limiter.in_flight.value == 0
-        and gate.directory.table.known[send.endpoint].in_flight == 0
+        and gate.directory.table.by_id[send.endpoint].in_flight == 0
         and not [*gate.flow.attempts.table]
     )
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -62,11 +62,11 @@
     c.handle(1000, [SIX_ENDPOINTS])
     sends = of(SendAttempt, c.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
     c.handle(1002, [EndpointUpdate(())])
-    assert set(c.directory.table.known) == {send.endpoint for send in sends}
+    assert set(c.directory.table.by_id) == {send.endpoint for send in sends}
     c.handle(1003, [outcome(send, AttemptResult.OK) for send in sends])
     for n in range(20):
         c.handle(1100 + 100 * n, [])
-    assert not c.directory.table.known and not c.directory.table.by_tag
+    assert not c.directory.table.by_id and not c.directory.table.by_tag
     for n in range(1000):
         c.context.timers.schedule(600_000.0 + n, TimerKind.DEADLINE, 7)
     c.context.timers.compact(c.flow.open)
@@ -94,7 +94,7 @@
     c = gateway(gateways=MANY, number=0)
     sent, told, number = set(), set(), 0
     c.handle(1000, [EndpointUpdate(servers)])
-    assert len(c.directory.table.known) == MANY and len(c.directory.table.by_tag) > 0.97 * MANY
+    assert len(c.directory.table.by_id) == MANY and len(c.directory.table.by_tag) > 0.97 * MANY
     for turn in range(600):
         now = 1004.0 + 4 * turn
         arrivals = [
@@ -113,7 +113,7 @@
     news = messages.encode(7, 1.0, [], [messages.observe(servers[1000].id, 0, math.inf)])
     c.handle(3410, [GossipReceived(MANY - 1, news), GossipReceived(MANY, news)])
     assert MANY - 1 in c.pace.received_at_ms and MANY not in c.pace.received_at_ms
-    assert c.directory.table.known[servers[1000].id].failures
+    assert c.directory.table.by_id[servers[1000].id].failures
     assert not c.errors
 
 
