--- a/gateway/config.py
+++ b/gateway/config.py
@@ -13,8 +13,9 @@
 
 from gateway.errors import ConfigError, SettingsError
 from gateway.interface.events import Endpoint, EndpointState
+from gateway.interface.json_object import JsonObject
 from gateway.interface.settings import Settings
-from gateway.interface.settings_reader import JsonObject, settings_from
+from gateway.interface.settings_reader import settings_from
 
 Address = tuple[str, int]
 _STATES = {state.value: state for state in EndpointState}  # discovery's words
--- a/gateway/interface/__init__.py
+++ b/gateway/interface/__init__.py
@@ -1,1 +1,1 @@
-"""What crosses the border of the decisions: settings, events and actions."""
+"""The interface of the decision package: settings, events and actions."""
--- a/gateway/interface/actions.py
+++ b/gateway/interface/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision package asks for. Durations are milliseconds."""
+"""The actions that the decision package returns. Durations are in milliseconds."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Start an attempt; attempts of a request are numbered from 0 in the order of their sends.
+    """Send a request to an endpoint.
 
-    Its last byte goes out by the time `send_by_ms` of the clock, or never.
+    The attempts of a request are numbered from 0 in the order of these actions. The last byte has to be sent
+    before the time `send_by_ms`; otherwise the attempt ends as NOT_SENT.
     """
 
     id: int
@@ -21,7 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final: the client may safely come again, best after `retry_after_ms` (0: no advice)."""
+    """Reject a request: a retry by the client is harmless, best after `retry_after_ms` (0 gives no advice).
+
+    This is a final answer.
+    """
 
     id: int
     retry_after_ms: float = 0.0
@@ -29,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final: no promise is made of what was executed."""
+    """Fail a request, which may have been executed. This is a final answer."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Wait no longer for one attempt."""
+    """Cancel one attempt of a request."""
 
     id: int
     attempt: int
@@ -44,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` event."""
+    """Request a `TimerFired` event."""
 
     after_ms: float
     name: str
@@ -52,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send a datagram to another gateway, or to another process of this one."""
+    """Send a datagram to another gateway, or to another process of this gateway."""
 
     receiver: int
     data: bytes
@@ -60,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask an endpoint for its load."""
+    """Send a health check to an endpoint."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class SubscribeEndpoints:
-    """Ask discovery for endpoint updates from now on."""
+    """Subscribe to the updates of the endpoint list."""
 
 
 Action = (
--- a/gateway/interface/events.py
+++ b/gateway/interface/events.py
@@ -1,6 +1,7 @@
-"""The events that the decision package takes in. Times are milliseconds of the caller's clock.
+"""The events that the decision package handles. Times are in milliseconds of the caller's clock.
 
-A time that ends in `_at_ms` is a point of that clock, any other a duration, unless said otherwise.
+A name that ends in `_at_ms` is a point in time. Any other name in `_ms` is a duration, unless its comment
+differs.
 """
 
 from __future__ import annotations
@@ -12,20 +13,20 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended. The values are the simulator's words."""
+    """The result of an attempt."""
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "full"  # the endpoint refused it unexecuted
+    OVERLOADED = "overloaded"  # the endpoint refused the request without executing it
     TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"
+    CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "moot"  # it was given up before its last byte went out
+    NOT_SENT = "not sent"  # the attempt was given up before its last byte was sent
 
     @property
     def proves_not_executed(self) -> bool:
-        """True where the result proves that the endpoint never began to execute the request."""
+        """Whether the result proves that the endpoint has not executed the request."""
         return self in _NOT_EXECUTED
 
 
@@ -33,7 +34,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint. The values are discovery's words."""
+    """The state of an endpoint in the endpoint list; the values are those of the discovery service."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -49,10 +50,10 @@
     cell: int
     state: EndpointState
     weight: float = 1.0
-    started_ms: float = 0.0  # when its process started, on the clock; 0: long ago
+    started_ms: float = 0.0  # point in time at which the process started; 0 for long ago
 
     def shares_keys_with(self, other: Endpoint, scope: KeyScope) -> bool:
-        """Return whether the two drop duplicates of an idempotency key together."""
+        """Return whether both endpoints drop duplicates of the same idempotency keys."""
         if scope is KeyScope.ALL:
             return True
         return self.zone == other.zone and (scope is KeyScope.ZONE or self.cell == other.cell)
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Discovery's view. A snapshot replaces all that was known, a failed update carries nothing."""
+    """An update of the endpoint list: a snapshot of all entries, the changed entries, or a failure."""
 
     endpoints: tuple[Endpoint, ...]
     is_snapshot: bool = True
@@ -69,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request, from now on owed one final answer by `deadline_at_ms`."""
+    """A client's request has arrived; it needs exactly one final answer before `deadline_at_ms`.
+
+    The customer's set of gateways are `spread` gateways with consecutive numbers, from `first_gateway` on.
+    """
 
     id: int
     customer: str
@@ -77,15 +81,15 @@
     plan_name: str
     deadline_at_ms: float
     units: float = 1.0
-    first_gateway: int = 0  # of the customer's set of gateways,
-    spread: int = 1  # which are so many in a row
+    first_gateway: int = 0
+    spread: int = 1
     is_client_retry: bool = False
-    is_complete: bool = True  # if not, the rest of its body is to come, and its time begins with that
+    is_complete: bool = True  # False: the body is incomplete, and RequestCompleted sets the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class BodyReleased:
-    """A part of a large request has been forwarded and is no longer held: it can't be sent again."""
+    """The start of a large request has been forwarded and discarded; no further attempt is possible."""
 
     id: int
 
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streaming response has started; its attempt alone answers the client now."""
+    """A streaming response has started; only its attempt can still answer the request."""
 
     id: int
     attempt: int
@@ -109,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How one attempt ended; `final` says that its request has ended too."""
+    """An attempt has ended; where `final` is set, its request has been answered and has ended as well."""
 
     id: int
     attempt: int
@@ -118,27 +122,27 @@
     result: AttemptResult
     final: bool
     actual_units: float = 0.0
-    used_percent: int = 0  # 1 + percent; 0: unknown
-    load: tuple[float, ...] = ()  # the endpoint's load report, in the order of the settings' fields
+    used_percent: int = 0  # 1 + percentage of the quota in use; 0 for unknown
+    load: tuple[float, ...] = ()  # the endpoint's load report, in the order of Settings.report_fields
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; nothing more is owed."""
+    """The client has disconnected; the request needs no answer."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A wake-up that was asked for."""
+    """A timer requested by `SetTimer` has fired."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A datagram from another gateway, or from another process of this one."""
+    """A datagram has been received from another gateway, or from another process of this gateway."""
 
     sender: int
     data: bytes
@@ -146,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChecked:
-    """The answer to a health check."""
+    """A health check requested by `CheckHealth` has ended."""
 
     endpoint: str
     elapsed_ms: float
@@ -156,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """The answer of the shared counter; this module makes no such calls."""
+    """The shared counter has replied; the decision package sends it no requests."""
 
     name: str
 
--- a/gateway/interface/settings_reader.py
+++ b/gateway/interface/settings_reader.py
@@ -1,154 +1,170 @@
-"""The settings in the platform's JSON, translated into the types of `gateway.interface.settings`.
+"""Reads the settings in the platform's JSON into the types of `gateway.interface.settings`.
 
-The keys are the pages' words; they are known here alone.
+The tables in this module are the only place that maps the platform's keys to the names of the settings.
 """
 
 from __future__ import annotations
 
-import math
-from typing import Any
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any, TypeVar
 
 from gateway.errors import SettingsError
+from gateway.interface.json_object import JsonObject
 from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 
+_SUBSCRIBE = "subscribe"  # value of the key for the way in which endpoint updates are received
+_RETRY_AFTER_KEY = "retryAfter"  # flag without which no Retry-After is permitted
+
 _IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.WITH_KEY,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-_KEY_SCOPES = {scope.value: scope for scope in KeyScope}
+_KEY_SCOPES = {
+    "all": KeyScope.ALL,
+    "zone": KeyScope.ZONE,
+    "cell": KeyScope.CELL,
+}
 
+_Choice = TypeVar("_Choice", bound=Enum)
 
-class JsonObject:
-    """An object of JSON, with the path that leads to it.
 
-    Each method returns the value of one key, or the fallback where the object lacks it. It raises
-    SettingsError with the key's path where there is neither, or a value of another type.
-    """
+class _Section(Enum):
+    """The objects of the JSON that hold settings; the values are their keys."""
+
+    TOP = ""
+    RULES = "rules"
+    LIMITS = "limits"
+    DOMAIN = "domain"
+    REPORT = "report"
+    PENALTIES = "penalties"
+
+
+_OPTIONAL_SECTIONS = (_Section.DOMAIN, _Section.REPORT, _Section.PENALTIES)
+
+
+@dataclass(frozen=True, slots=True)
+class _Field:
+    """How one setting is read: its name, its key, the method that reads it, and the fallback."""
+
+    name: str
+    key: str
+    read: Callable[..., object]  # called with the object, the key and the fallback, if there is one
+    fallback: object = None  # None: the key is required
+    section: _Section = _Section.TOP
+
+    def value(self, row: JsonObject) -> object:
+        """Read the setting; raises SettingsError."""
+        if self.fallback is None:
+            return self.read(row, self.key)
+        return self.read(row, self.key, self.fallback)
+
+
+def settings_from(value: object, path: str = "info") -> Settings:
+    """Return the settings in a JSON object; unknown keys are ignored.
 
-    def __init__(self, value: Any, path: str) -> None:
-        """Raise SettingsError where the value is no object."""
-        if not isinstance(value, dict):
-            raise SettingsError(path, "an object is expected")
-        self.value = value
-        self.path = path
-
-    def number(self, key: str, fallback: float | None = None) -> float:
-        """Return a finite number."""
-        try:
-            value = float(self._get(key, (int, float), fallback))
-        except OverflowError:  # JSON has whole numbers of any length
-            value = math.inf
-        if not math.isfinite(value):
-            raise SettingsError(f"{self.path}.{key}", f"cannot read {value!r}")
-        return value
-
-    def text(self, key: str, fallback: str | None = None) -> str:
-        """Return a string."""
-        return str(self._get(key, (str,), fallback))
-
-    def flag(self, key: str, fallback: bool | None = None) -> bool:
-        """Return true or false, which may be told as a number."""
-        return bool(self._get(key, (bool, int), fallback))
-
-    def object(self, key: str, fallback: dict[str, Any] | None = None) -> JsonObject:
-        """Return an object."""
-        return JsonObject(self._get(key, (dict,), fallback), f"{self.path}.{key}")
-
-    def array(self, key: str) -> list[Any]:
-        """Return an array, whatever its items are."""
-        return list(self._get(key, (list,), None))
-
-    def objects(self, key: str) -> list[JsonObject]:
-        """Return an array of objects."""
-        return [JsonObject(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(self.array(key))]
-
-    def words(self, key: str) -> tuple[str, ...]:
-        """Return an array's items as strings; an empty one where the object lacks it."""
-        return tuple(str(word) for word in self._get(key, (list,), []))
-
-    def _get(self, key: str, types: tuple[type, ...], fallback: Any) -> Any:
-        value = self.value.get(key, fallback)
-        if value is None:
-            raise SettingsError(f"{self.path}.{key}", "it is missing")
-        if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
-            raise SettingsError(f"{self.path}.{key}", f"cannot read {value!r}")
-        return value
-
-
-def settings_from(value: Any, path: str = "info") -> Settings:
-    """Return the settings in an object of JSON; unknown keys are skipped.
-
-    Raises SettingsError where a key is missing or its value can't be right.
+    Raises SettingsError where a key is missing or a value is invalid.
     """
     top = JsonObject(value, path)
-    rules = top.object("rules")
-    limits = top.object("limits")
-    domain = top.object("domain", {})
-    report = top.object("report", {})
-    prices = top.object("penalties", {})
-    has_retry_after = limits.flag("retryAfter", False)
-    return Settings(
-        gateways=int(top.number("balancers")),
-        number=int(top.number("myNumber")),
-        zone=top.text("locality", ""),
-        classes=tuple(_request_class(row) for row in top.objects("classes")),
-        plans=tuple(_plan(row) for row in top.objects("packages")),
-        slow_start_ms=rules.number("warmUpMs"),
-        slow_start_floor=rules.number("coldFrom"),
-        overload_multiple=rules.number("fallMultiple"),
-        overload_window_ms=rules.number("tipAfterMs"),
-        poll_within_ms=rules.number("askWithinMs", 10_000.0),
-        drain_grace_ms=rules.number("drainGraceMs", 1000.0),
-        max_attempts=int(limits.number("maxAttempts")),
-        tick_ms=top.number("tickMs", 1.0),
-        max_units=domain.number("maxUnits", 1.0),
-        may_cancel=limits.flag("cancel", False),
-        may_gossip=limits.flag("mayTell", False),
-        may_check_health=limits.flag("probing", False),
-        may_hedge=limits.flag("secondCopies", False),
-        must_subscribe=top.text("discovery", "automatic") == "subscribe",
-        post_paid=domain.flag("postPaid", False),
-        max_retry_after_ms=limits.number("maxRetryAfterMs", 0.0) if has_retry_after else 0.0,
-        gossip_inbox_per_s=domain.number("inboxPerS", 0.0),
-        report_how=report.text("how", "none"),
-        report_fields=report.words("fields"),
-        cross_zone_price=prices.number("crossZone", 0.0),
-        peer_price=prices.number("peer", 0.0),
-    )
-
-
-def _request_class(row: JsonObject) -> RequestClass:
-    repeat = row.text("repeat")
-    if repeat not in _IDEMPOTENCY:
-        raise SettingsError(f"{row.path}.repeat", f"{repeat!r} is no kind of repeat")
-    scope = row.text("keyScope", "all")
-    if scope not in _KEY_SCOPES:
-        raise SettingsError(f"{row.path}.keyScope", f"{scope!r} is no group")
-    return RequestClass(
-        name=row.text("name"),
-        latency_objective_ms=row.number("aimMs"),
-        deadline_ms=row.number("deadlineMs"),
-        priority_weight=row.number("worth", 1.0),
-        idempotency=_IDEMPOTENCY[repeat],
-        late_weight=row.number("lateWorth", 0.0),
-        key_scope=_KEY_SCOPES[scope],
-        deduplication_window_ms=row.number("dedupWindowMs", 0.0),
-        streamed=row.flag("streamed", False),
-        objective_stretch=row.number("aimStretch", 0.0),
-    )
-
-
-def _plan(row: JsonObject) -> Plan:
-    return Plan(
-        name=row.text("name"),
-        rate_per_s=row.number("perSecond", 0.0),
-        burst=row.number("storeSize", 0.0),
-        max_in_flight=int(row.number("concurrency", 0.0)),
-        weight_factor=row.number("valueFactor", 1.0),
-        overage_weight=row.number("overWorth", 0.0),
-        overage_cost=row.number("overrunCost", 0.0),
-        ceiling_per_s=row.number("hardRate", 0.0),
-        ceiling_burst=row.number("hardBurst", 0.0),
-        ceiling_slack=row.number("capSlack", 0.0),
-    )
+    sections = {section: _section_of(top, section) for section in _Section}
+    values: dict[str, Any] = {field.name: field.value(sections[field.section]) for field in _SETTINGS_FIELDS}
+    return Settings(**values)
+
+
+def _section_of(top: JsonObject, section: _Section) -> JsonObject:
+    if section is _Section.TOP:
+        return top
+    return top.object(section.value, {} if section in _OPTIONAL_SECTIONS else None)
+
+
+def _values(row: JsonObject, fields: tuple[_Field, ...]) -> dict[str, Any]:
+    return {field.name: field.value(row) for field in fields}
+
+
+def _choice(row: JsonObject, key: str, choices: Mapping[str, _Choice], fallback: str | None) -> _Choice:
+    word = row.text(key, fallback)
+    if word not in choices:
+        raise SettingsError(f"{row.path}.{key}", f"{word!r} is not one of {', '.join(choices)}")
+    return choices[word]
+
+
+def _idempotency(row: JsonObject, key: str) -> Idempotency:
+    return _choice(row, key, _IDEMPOTENCY, None)
+
+
+def _key_scope(row: JsonObject, key: str, fallback: str) -> KeyScope:
+    return _choice(row, key, _KEY_SCOPES, fallback)
+
+
+def _request_classes(top: JsonObject, key: str) -> tuple[RequestClass, ...]:
+    return tuple(RequestClass(**_values(row, _CLASS_FIELDS)) for row in top.objects(key))
+
+
+def _plans(top: JsonObject, key: str) -> tuple[Plan, ...]:
+    return tuple(Plan(**_values(row, _PLAN_FIELDS)) for row in top.objects(key))
+
+
+def _must_subscribe(top: JsonObject, key: str, fallback: str) -> bool:
+    return top.text(key, fallback) == _SUBSCRIBE
+
+
+def _max_retry_after_ms(limits: JsonObject, key: str, fallback: float) -> float:
+    return limits.number(key, fallback) if limits.flag(_RETRY_AFTER_KEY, False) else 0.0
+
+
+_CLASS_FIELDS = (
+    _Field("idempotency", "repeat", _idempotency),
+    _Field("key_scope", "keyScope", _key_scope, "all"),
+    _Field("name", "name", JsonObject.text),
+    _Field("latency_objective_ms", "aimMs", JsonObject.number),
+    _Field("deadline_ms", "deadlineMs", JsonObject.number),
+    _Field("priority_weight", "worth", JsonObject.number, 1.0),
+    _Field("late_weight", "lateWorth", JsonObject.number, 0.0),
+    _Field("deduplication_window_ms", "dedupWindowMs", JsonObject.number, 0.0),
+    _Field("streamed", "streamed", JsonObject.flag, False),
+    _Field("objective_stretch", "aimStretch", JsonObject.number, 0.0),
+)
+
+_PLAN_FIELDS = (
+    _Field("name", "name", JsonObject.text),
+    _Field("rate_per_s", "perSecond", JsonObject.number, 0.0),
+    _Field("burst", "storeSize", JsonObject.number, 0.0),
+    _Field("max_in_flight", "concurrency", JsonObject.integer, 0.0),
+    _Field("weight_factor", "valueFactor", JsonObject.number, 1.0),
+    _Field("overage_weight", "overWorth", JsonObject.number, 0.0),
+    _Field("overage_cost", "overrunCost", JsonObject.number, 0.0),
+    _Field("ceiling_per_s", "hardRate", JsonObject.number, 0.0),
+    _Field("ceiling_burst", "hardBurst", JsonObject.number, 0.0),
+    _Field("ceiling_slack", "capSlack", JsonObject.number, 0.0),
+)
+
+_SETTINGS_FIELDS = (
+    _Field("gateways", "balancers", JsonObject.integer),
+    _Field("number", "myNumber", JsonObject.integer),
+    _Field("zone", "locality", JsonObject.text, ""),
+    _Field("classes", "classes", _request_classes),
+    _Field("plans", "packages", _plans),
+    _Field("slow_start_ms", "warmUpMs", JsonObject.number, section=_Section.RULES),
+    _Field("slow_start_floor", "coldFrom", JsonObject.number, section=_Section.RULES),
+    _Field("overload_multiple", "fallMultiple", JsonObject.number, section=_Section.RULES),
+    _Field("overload_window_ms", "tipAfterMs", JsonObject.number, section=_Section.RULES),
+    _Field("poll_within_ms", "askWithinMs", JsonObject.number, 10_000.0, _Section.RULES),
+    _Field("drain_grace_ms", "drainGraceMs", JsonObject.number, 1000.0, _Section.RULES),
+    _Field("max_attempts", "maxAttempts", JsonObject.integer, section=_Section.LIMITS),
+    _Field("tick_ms", "tickMs", JsonObject.number, 1.0),
+    _Field("max_units", "maxUnits", JsonObject.number, 1.0, _Section.DOMAIN),
+    _Field("may_cancel", "cancel", JsonObject.flag, False, _Section.LIMITS),
+    _Field("may_gossip", "mayTell", JsonObject.flag, False, _Section.LIMITS),
+    _Field("may_check_health", "probing", JsonObject.flag, False, _Section.LIMITS),
+    _Field("may_hedge", "secondCopies", JsonObject.flag, False, _Section.LIMITS),
+    _Field("must_subscribe", "discovery", _must_subscribe, "automatic"),
+    _Field("post_paid", "postPaid", JsonObject.flag, False, _Section.DOMAIN),
+    _Field("max_retry_after_ms", "maxRetryAfterMs", _max_retry_after_ms, 0.0, _Section.LIMITS),
+    _Field("gossip_inbox_per_s", "inboxPerS", JsonObject.number, 0.0, _Section.DOMAIN),
+    _Field("report_how", "how", JsonObject.text, "none", _Section.REPORT),
+    _Field("report_fields", "fields", JsonObject.words, section=_Section.REPORT),
+    _Field("cross_zone_price", "crossZone", JsonObject.number, 0.0, _Section.PENALTIES),
+    _Field("peer_price", "peer", JsonObject.number, 0.0, _Section.PENALTIES),
+)
--- a/gateway/simulator/messages.py
+++ b/gateway/simulator/messages.py
@@ -15,6 +15,16 @@
     "Stopping": EndpointState.DRAINING,
     "Deleted": EndpointState.REMOVED,
 }
+_RESULTS = {
+    "ok": AttemptResult.OK,
+    "error": AttemptResult.ERROR,
+    "full": AttemptResult.OVERLOADED,
+    "timeout": AttemptResult.TIMEOUT,
+    "connect_failed": AttemptResult.CONNECT_FAILED,
+    "reset": AttemptResult.RESET,
+    "cancelled": AttemptResult.CANCELLED,
+    "moot": AttemptResult.NOT_SENT,
+}
 _RETRY_BIT = 2
 _SNAPSHOT_MODES = ("full", "cached")
 _FAILED_MODE = "failed"
@@ -72,7 +82,7 @@
 
 
 def _result(text: str) -> AttemptResult:
-    return AttemptResult(text)
+    return _RESULTS[text]
 
 
 def _mode(text: str) -> str:
