--- a/gateway/gossip/__init__.py
+++ b/gateway/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""The messages that gateways send each other."""
+"""Gossip: the datagrams that gateways send each other."""
--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -1,4 +1,8 @@
-"""The datagrams of gateways to each other: quota entries and observations of endpoints, at most 256 bytes."""
+"""The datagrams between gateways: quota entries and observations of endpoints, in at most 256 bytes.
+
+A datagram is a header, the entries that the header counts, and observations up to its end. All fields are
+little-endian. The layout is an interface between versions of this program, and has to stay as it is.
+"""
 
 from __future__ import annotations
 
@@ -9,60 +13,66 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MAX_BYTES = 256
-MAX_OBSERVATIONS = 4
-MAX_INDEXES = 16  # classes and plans that can be told of
-_VERSION = 2
-_HEAD = struct.Struct("<BHHB")  # version, incarnation, target concurrency, number of entries
-_ENTRY = struct.Struct("<BIHHHB")  # kind, customer tag, lease id, units, demand, class and plan index
-_OBSERVATION = struct.Struct("<HB")  # endpoint tag, class index and grade
-MAX_ENTRIES = (MAX_BYTES - _HEAD.size - MAX_OBSERVATIONS * _OBSERVATION.size) // _ENTRY.size
+_VERSION = 2  # version of the layout
+_HEADER_LAYOUT = struct.Struct("<BHHB")  # layout of _Header
+_ENTRY_LAYOUT = struct.Struct("<BIHHHB")  # layout of _EntryFields
+_OBSERVATION_LAYOUT = struct.Struct("<HB")  # layout of _ObservationFields
+
+MAX_BYTES = 256  # size limit of a datagram, in bytes
+MAX_OBSERVATIONS = 4  # observations in a datagram
+MAX_ENTRIES = (  # quota entries in a datagram
+    MAX_BYTES - _HEADER_LAYOUT.size - MAX_OBSERVATIONS * _OBSERVATION_LAYOUT.size
+) // _ENTRY_LAYOUT.size
 
 _MAX_UINT16 = 0xFFFF
-_CONCURRENCY_SCALE = 64  # fixed-point numbers count in such parts
-_UNITS_SCALE = 16
-_FAILED_GRADE = 15
-_EXPECTED_GRADE = 4  # as fast as expected; two grades for each doubling
-_GRADES_PER_DOUBLING = 2
-_MIN_RATIO = 0.25  # latency ratios that a grade can hold
-_MAX_RATIO = 32.0
+_NIBBLE_BITS = 4  # size of class indexes, plan indexes and grades, in bits
+_NIBBLE_MASK = (1 << _NIBBLE_BITS) - 1
+MAX_INDEXES = 1 << _NIBBLE_BITS  # number of classes and of plans that entries can name
+
+_CONCURRENCY_SCALE = 64  # steps per attempt of the fixed-point target concurrency
+_UNITS_SCALE = 16  # steps per unit of the fixed-point units and rates
+_FAILED_GRADE = 15  # grade of a failed attempt
+_EXPECTED_GRADE = 4  # grade of a latency equal to the expected one
+_GRADES_PER_DOUBLING = 2  # grades between a latency and twice that latency
+_MIN_LATENCY_RATIO = 0.25  # least latency that a grade expresses, in expected latencies
+_MAX_LATENCY_RATIO = 32.0  # greatest latency that a grade expresses, in expected latencies
 
 
 class EntryKind(IntEnum):
-    """What a quota entry says."""
+    """The kind of a quota entry."""
 
-    REQUEST = 1  # to the leader: may so many units be admitted?
-    GRANT = 2  # from the leader: they may
-    QUEUED = 3  # from the leader: received, but not now
-    USED = 4  # to the leader: they were admitted without a grant
-    RETURN = 5  # to the leader: not needed, or no longer in flight
-    RETRY_REQUEST = 6  # a REQUEST for a client's retry
-    DENY = 7  # from the leader: not in any time that is of use
+    REQUEST = 1  # to the leader: a lease request
+    GRANT = 2  # from the leader: the lease is granted
+    QUEUED = 3  # from the leader: the lease request is queued
+    USED = 4  # to the leader: the units were used without a grant
+    RETURN = 5  # to the leader: the units are not needed, or the request is no longer in flight
+    RETRY_REQUEST = 6  # to the leader: a lease request for a client's retry
+    DENY = 7  # from the leader: the lease cannot be granted in time
 
 
-REPLIES = (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY)  # what a leader says
+REPLIES = (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY)  # kinds that a leader sends
 _KINDS = frozenset(int(kind) for kind in EntryKind)
 
 
 class QuotaEntry(NamedTuple):
-    """One statement about one request of a customer."""
+    """A message about the quota of one request."""
 
     kind: EntryKind
     customer_tag: int
     lease_id: int
     units: float
-    demand_per_s: float  # as the sender sees it; from a leader, of all gateways
+    demand_per_s: float  # the customer's demand at the sender; from a leader, at all gateways
     class_index: int
     plan_index: int
 
     @property
     def bucket_name(self) -> int:
-        """The name of the leader's bucket that it is about: of a customer, and of the plan that it names."""
-        return self.customer_tag << 4 | self.plan_index
+        """The name of the leader's bucket for the customer and the plan."""
+        return self.customer_tag << _NIBBLE_BITS | self.plan_index
 
 
 class EndpointObservation(NamedTuple):
-    """How one attempt at an endpoint went at the sender."""
+    """The result of one attempt at an endpoint, as its sender observed it."""
 
     endpoint_tag: int
     class_index: int
@@ -70,7 +80,7 @@
 
 
 class GossipMessage(NamedTuple):
-    """One datagram."""
+    """The contents of one datagram."""
 
     incarnation: int
     target_concurrency: float
@@ -78,29 +88,50 @@
     observations: tuple[EndpointObservation, ...]
 
 
+class _Header(NamedTuple):
+    version: int
+    incarnation: int
+    target_concurrency: int  # fixed-point number
+    entry_count: int
+
+
+class _EntryFields(NamedTuple):
+    kind: int
+    customer_tag: int
+    lease_id: int
+    units: int  # fixed-point number
+    demand_per_s: int  # fixed-point number
+    indexes: int  # class index and plan index
+
+
+class _ObservationFields(NamedTuple):
+    endpoint_tag: int
+    index_and_grade: int  # class index and grade
+
+
 def observe(endpoint_id: str, class_index: int, latency_ratio: float) -> EndpointObservation:
-    """Return what an attempt showed: its latency against the expected one, or inf for a failure."""
+    """Return the observation of an attempt: its latency in expected latencies, or inf for a failure."""
     grade = _FAILED_GRADE
     if latency_ratio != math.inf:
-        bounded = max(_MIN_RATIO, min(_MAX_RATIO, latency_ratio))
-        grade = _EXPECTED_GRADE + round(_GRADES_PER_DOUBLING * math.log2(bounded))
+        bounded_ratio = max(_MIN_LATENCY_RATIO, min(_MAX_LATENCY_RATIO, latency_ratio))
+        grade = _EXPECTED_GRADE + round(_GRADES_PER_DOUBLING * math.log2(bounded_ratio))
     return EndpointObservation(endpoint_tag(endpoint_id), class_index, grade)
 
 
 def latency_ratio_of(observation: EndpointObservation) -> float:
-    """Return the latency against the expected one that an observation tells, inf for a failure."""
+    """Return the latency of an observation in expected latencies, or inf for a failure."""
     if observation.grade == _FAILED_GRADE:
         return math.inf
     return 2 ** ((observation.grade - _EXPECTED_GRADE) / _GRADES_PER_DOUBLING)
 
 
 def customer_tag(customer: str) -> int:
-    """Return a 32-bit stand-in for a customer's name; the same at every gateway."""
+    """Return a hash of a customer's name with 32 bits, which is the same at every gateway."""
     return zlib.crc32(customer.encode())
 
 
 def endpoint_tag(endpoint_id: str) -> int:
-    """Return a 16-bit stand-in for an endpoint's id; the same at every gateway."""
+    """Return a hash of an endpoint's id with 16 bits, which is the same at every gateway."""
     return zlib.crc32(endpoint_id.encode()) & _MAX_UINT16
 
 
@@ -110,37 +141,46 @@
     entries: Sequence[QuotaEntry],
     observations: Sequence[EndpointObservation],
 ) -> bytes:
-    """Return the datagram. What it can't hold is left out.
+    """Return a datagram.
 
-    That goes for entries and observations beyond the most, and for indexes beyond what its fields hold: an
-    error here would cost the sender a whole turn.
+    Entries and observations beyond its capacity are omitted, as are those whose indexes exceed their fields:
+    an error would fail the sender's turn.
     """
     sent_entries = [entry for entry in entries[:MAX_ENTRIES] if _fits(entry)]
-    sent_observations = [seen for seen in observations[:MAX_OBSERVATIONS] if seen.class_index < MAX_INDEXES]
-    concurrency = _fixed_point(target_concurrency, _CONCURRENCY_SCALE)
-    head = _HEAD.pack(_VERSION, incarnation & _MAX_UINT16, concurrency, len(sent_entries))
-    return b"".join([head, *map(_pack_entry, sent_entries), *map(_pack_observation, sent_observations)])
+    sent_observations = [
+        observation
+        for observation in observations[:MAX_OBSERVATIONS]
+        if observation.class_index < MAX_INDEXES
+    ]
+    header = _Header(
+        version=_VERSION,
+        incarnation=incarnation & _MAX_UINT16,
+        target_concurrency=_fixed_point(target_concurrency, _CONCURRENCY_SCALE),
+        entry_count=len(sent_entries),
+    )
+    packed_entries = map(_pack_entry, sent_entries)
+    packed_observations = map(_pack_observation, sent_observations)
+    return b"".join([_HEADER_LAYOUT.pack(*header), *packed_entries, *packed_observations])
 
 
 def decode(data: bytes) -> GossipMessage | None:
-    """Return the message in a datagram, or None where it can't be read."""
-    if len(data) < _HEAD.size or len(data) > MAX_BYTES or data[0] != _VERSION:
+    """Return the message in a datagram, or None where it is invalid."""
+    if len(data) < _HEADER_LAYOUT.size or len(data) > MAX_BYTES or data[0] != _VERSION:
         return None
-    _, incarnation, concurrency, count = _HEAD.unpack_from(data)
-    end_of_entries = _HEAD.size + count * _ENTRY.size
-    if len(data) < end_of_entries or (len(data) - end_of_entries) % _OBSERVATION.size:
+    header = _Header._make(_HEADER_LAYOUT.unpack_from(data))
+    end_of_entries = _HEADER_LAYOUT.size + header.entry_count * _ENTRY_LAYOUT.size
+    if len(data) < end_of_entries or (len(data) - end_of_entries) % _OBSERVATION_LAYOUT.size:
         return None
-    rows = list(_ENTRY.iter_unpack(data[_HEAD.size : end_of_entries]))
-    if any(row[0] not in _KINDS for row in rows):
+    entry_bytes = data[_HEADER_LAYOUT.size : end_of_entries]
+    entry_fields = [_EntryFields._make(row) for row in _ENTRY_LAYOUT.iter_unpack(entry_bytes)]
+    if any(fields.kind not in _KINDS for fields in entry_fields):
         return None
+    observation_rows = _OBSERVATION_LAYOUT.iter_unpack(data[end_of_entries:])
     return GossipMessage(
-        incarnation,
-        concurrency / _CONCURRENCY_SCALE,
-        tuple(_entry_from(*row) for row in rows),
-        tuple(
-            EndpointObservation(tag, packed >> 4, packed & 15)
-            for tag, packed in _OBSERVATION.iter_unpack(data[end_of_entries:])
-        ),
+        header.incarnation,
+        header.target_concurrency / _CONCURRENCY_SCALE,
+        tuple(_entry_from(fields) for fields in entry_fields),
+        tuple(_observation_from(_ObservationFields._make(row)) for row in observation_rows),
     )
 
 
@@ -153,27 +193,40 @@
 
 
 def _pack_entry(entry: QuotaEntry) -> bytes:
-    return _ENTRY.pack(
-        entry.kind,
-        entry.customer_tag,
-        entry.lease_id & _MAX_UINT16,
-        _fixed_point(entry.units, _UNITS_SCALE),
-        _fixed_point(entry.demand_per_s, _UNITS_SCALE),
-        entry.class_index << 4 | entry.plan_index,
+    fields = _EntryFields(
+        kind=entry.kind,
+        customer_tag=entry.customer_tag,
+        lease_id=entry.lease_id & _MAX_UINT16,
+        units=_fixed_point(entry.units, _UNITS_SCALE),
+        demand_per_s=_fixed_point(entry.demand_per_s, _UNITS_SCALE),
+        indexes=entry.class_index << _NIBBLE_BITS | entry.plan_index,
     )
+    return _ENTRY_LAYOUT.pack(*fields)
 
 
-def _pack_observation(seen: EndpointObservation) -> bytes:
-    return _OBSERVATION.pack(seen.endpoint_tag, seen.class_index << 4 | seen.grade)
+def _pack_observation(observation: EndpointObservation) -> bytes:
+    fields = _ObservationFields(
+        endpoint_tag=observation.endpoint_tag,
+        index_and_grade=observation.class_index << _NIBBLE_BITS | observation.grade,
+    )
+    return _OBSERVATION_LAYOUT.pack(*fields)
 
 
-def _entry_from(kind: int, tag: int, lease_id: int, units: int, demand: int, indexes: int) -> QuotaEntry:
+def _entry_from(fields: _EntryFields) -> QuotaEntry:
     return QuotaEntry(
-        EntryKind(kind),
-        tag,
-        lease_id,
-        units / _UNITS_SCALE,
-        demand / _UNITS_SCALE,
-        indexes >> 4,
-        indexes & 15,
+        kind=EntryKind(fields.kind),
+        customer_tag=fields.customer_tag,
+        lease_id=fields.lease_id,
+        units=fields.units / _UNITS_SCALE,
+        demand_per_s=fields.demand_per_s / _UNITS_SCALE,
+        class_index=fields.indexes >> _NIBBLE_BITS,
+        plan_index=fields.indexes & _NIBBLE_MASK,
+    )
+
+
+def _observation_from(fields: _ObservationFields) -> EndpointObservation:
+    return EndpointObservation(
+        endpoint_tag=fields.endpoint_tag,
+        class_index=fields.index_and_grade >> _NIBBLE_BITS,
+        grade=fields.index_and_grade & _NIBBLE_MASK,
     )
