--- a/gateway/simulator/__init__.py
+++ b/gateway/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: `python -m gateway.simulator`."""
+"""The adapter to the simulator, which lets it run the decision package: `python -m gateway.simulator`."""
--- a/gateway/simulator/__main__.py
+++ b/gateway/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: `python -m gateway.simulator`."""
+"""The entry point of the adapter to the simulator: `python -m gateway.simulator`."""
 
 import sys
 
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -1,37 +1,47 @@
-"""The simulator's wire: reads batches of messages, hosts a controller for each instance, writes the replies.
+"""The adapter to the simulator: it reads batches of messages, runs one controller per instance, and replies.
 
-Nothing in here decides anything. What can't be read ends the process with one plain message.
+It takes no decisions. Input that cannot be read ends the process with one error message.
 """
 
 from __future__ import annotations
 
+import io
 import json
 import sys
 import traceback
 from collections.abc import Iterator
-from typing import Any, TextIO
+from typing import TextIO
 
 from gateway.errors import GatewayError, SettingsError
 from gateway.interface.events import Endpoint, EndpointUpdate, Event
 from gateway.interface.settings_reader import settings_from
 from gateway.policy.controller import Controller
+from gateway.simulator import fields
 from gateway.simulator.messages import (
+    MAX_REPORTED_TEXT,
+    Line,
+    Message,
+    MessageName,
     WireError,
+    lines_of,
+)
+from gateway.simulator.translation import (
     endpoint_from,
     event_from,
-    is_known,
     line_for,
-    read_fields,
     update_from,
+    update_mode,
 )
 
-EXIT_OK = 0
-EXIT_CONTROLLER_ERROR = 1
-EXIT_WIRE_ERROR = 2
+EXIT_OK = 0  # exit code at the end of the input
+EXIT_CONTROLLER_ERROR = 1  # exit code where a controller raised an error
+EXIT_WIRE_ERROR = 2  # exit code where the input could not be read
+
+_BATCH_DONE = "FINISHED"  # line that ends the replies to a batch
 
 
 class ControllerError(GatewayError):
-    """A controller raised; the text is the wire's report of it, the cause is what it raised."""
+    """An error that a controller raised; the text is its report on the wire, the cause is the error."""
 
     def __init__(self, instance: int, error: Exception) -> None:
         """Report the error of an instance."""
@@ -40,10 +50,10 @@
 
 
 class Batch:
-    """One batch of messages: its time, and the events of each instance in the order in which they came."""
+    """One batch of messages: its time, and the events of each instance in the order of their receipt."""
 
     def __init__(self, now_ms: float) -> None:
-        """Begin with no event."""
+        """Start with no event."""
         self.now_ms = now_ms
         self.events: dict[int, list[Event]] = {}
 
@@ -52,132 +62,141 @@
         self.events.setdefault(instance, []).append(event)
 
     def restart(self, instance: int) -> None:
-        """Let an instance begin anew in this batch; it has a turn, whether anything happens or not."""
+        """Drop the events of an instance that starts in this batch; it has a turn even without events."""
         self.remove(instance)
         self.events[instance] = []
 
     def remove(self, instance: int) -> None:
-        """Drop the events of an instance."""
+        """Drop the events of an instance, which then has no turn."""
         self.events.pop(instance, None)
 
 
-class Host:
-    """Hosts many controllers that share nothing but this process."""
+class SimulatorAdapter:
+    """Runs the controllers of many instances, which share nothing but this process."""
 
-    def __init__(self, source: Iterator[str], sink: TextIO, complaints: TextIO) -> None:
-        """Read lines from the source, write replies to the sink, and report skipped messages."""
-        self._source = source
+    def __init__(self, source: Iterator[str], sink: TextIO, error_output: TextIO) -> None:
+        """Read lines from the source, write replies to the sink, and report ignored messages."""
+        self._lines = lines_of(source)
         self._sink = sink
-        self._complaints = complaints
+        self._error_output = error_output
         self._controllers: dict[int, Controller] = {}
-        self._reported: set[str] = set()
+        self._reported: set[str] = set()  # names of unknown messages that have been reported
 
     def run(self) -> None:
         """Serve batches until the input ends; raises WireError and ControllerError."""
-        for line in self._source:
-            name, *parts = line.rstrip("\n").split("\t")
-            if name == "SYNC":
-                (now_ms,) = read_fields(name, parts)
-                batch = Batch(now_ms)
+        for line in self._lines:
+            if line.name is MessageName.BATCH_START:
+                message = Message(line.name, line.texts)
+                batch = Batch(message.read("clock", fields.number))
                 if not self._read_batch(batch):
                     return
-                self._answer(batch)
-            elif name:
-                self._skip(name)
+                self._reply(batch)
+            elif line.wire_name:
+                self._ignore(line)
 
     def _read_batch(self, batch: Batch) -> bool:
-        """Read one batch to its end; False when the input ends inside it."""
+        """Read the messages of one batch; return False where the input ends before the batch."""
         instance: int | None = None
-        for line in self._source:
-            name, *parts = line.rstrip("\n").split("\t")
-            if name == "YOUR_TURN":
-                return True
-            if not is_known(name) or name in ("SYNC", "WORKER"):
-                self._skip(name)
-                continue
-            values = read_fields(name, parts)
-            if name == "SWITCH_TO":
-                (instance,) = values
-            elif instance is None:
-                raise WireError(f"{name}: no SWITCH_TO before it")
-            else:
-                self._take_in(batch, instance, name, values)
+        for line in self._lines:
+            match line.name:
+                case MessageName.BATCH_END:
+                    return True
+                case None | MessageName.BATCH_START | MessageName.ENDPOINT:
+                    self._ignore(line)
+                case MessageName.SELECT_INSTANCE:
+                    instance = Message(line.name, line.texts).read("gatekeeper", fields.natural)
+                case _ if instance is None:
+                    raise WireError(f"{line.wire_name}: no SWITCH_TO before it")
+                case _:
+                    self._on_message(batch, instance, Message(line.name, line.texts))
         return False
 
-    def _take_in(self, batch: Batch, instance: int, name: str, values: list[Any]) -> None:
-        """Take in one message to an instance."""
-        match name:
-            case "KILL":
+    def _on_message(self, batch: Batch, instance: int, message: Message) -> None:
+        """Handle one message for an instance."""
+        match message.name:
+            case MessageName.STOP_INSTANCE:
                 self._controllers.pop(instance, None)
                 batch.remove(instance)
-            case "CONFIGURE":
-                self._start(instance, *values)
+            case MessageName.START_INSTANCE:
+                self._start(instance, message)
                 batch.restart(instance)
-            case "FLEET":
-                batch.add(instance, self._read_update(*values))
+            case MessageName.ENDPOINT_UPDATE:
+                batch.add(instance, self._read_update(message))
             case _:
-                batch.add(instance, event_from(name, values))
+                batch.add(instance, event_from(message))
 
-    def _read_update(self, mode: str, _revision: int, count: int) -> EndpointUpdate:
-        """Read the rows that follow a FLEET message."""
+    def _start(self, instance: int, message: Message) -> None:
+        """Create the controller of an instance."""
+        seed = message.read("salt", fields.integer)
+        try:
+            settings = settings_from(json.loads(message.read("info", str)))
+        except SettingsError as error:
+            raise WireError(f"{message.name.value}: field {error}") from error
+        except ValueError as error:
+            raise message.error("info", "no JSON") from error
+        self._controllers[instance] = Controller(settings, seed)
+
+    def _read_update(self, message: Message) -> EndpointUpdate:
+        """Read the endpoints that follow an ENDPOINT_UPDATE message."""
+        mode = message.read("mode", update_mode)
+        message.read("rev", fields.integer)  # the update has no revision, but an invalid one is an error
+        count = message.read("rows", fields.integer)
         endpoints: list[Endpoint] = []
         while len(endpoints) < count:
-            name, *parts = next(self._source, "").rstrip("\n").split("\t")
-            if name != "WORKER":
-                raise WireError(f"FLEET: field rows: {count} told, {len(endpoints)} came")
-            endpoints.append(endpoint_from(read_fields(name, parts)))
+            line = next(self._lines, None)
+            if line is None or line.name is not MessageName.ENDPOINT:
+                raise message.error("rows", f"{len(endpoints)} rows in place of {count}")
+            endpoints.append(endpoint_from(Message(line.name, line.texts)))
         return update_from(mode, endpoints)
 
-    def _start(self, instance: int, seed: int, info: str) -> None:
-        try:
-            value = json.loads(info)
-        except ValueError as error:
-            raise WireError("CONFIGURE: field info: no JSON") from error
-        try:
-            self._controllers[instance] = Controller(settings_from(value), seed)
-        except SettingsError as error:
-            raise WireError(f"CONFIGURE: field {error}") from error
-
-    def _answer(self, batch: Batch) -> None:
-        """Let each instance of a batch take its turn, and write all replies."""
+    def _reply(self, batch: Batch) -> None:
+        """Run the turn of each instance of a batch, and write all replies."""
         lines: list[str] = []
-        for instance, happened in batch.events.items():
-            lines += self._turn(instance, batch.now_ms, happened)
-        self._sink.write("".join(f"{line}\n" for line in lines) + "FINISHED\n")
+        for instance, new_events in batch.events.items():
+            lines += self._turn(instance, batch.now_ms, new_events)
+        lines.append(_BATCH_DONE)
+        self._sink.write("".join(f"{line}\n" for line in lines))
         self._sink.flush()
 
-    def _turn(self, instance: int, now_ms: float, happened: list[Event]) -> list[str]:
+    def _turn(self, instance: int, now_ms: float, new_events: list[Event]) -> list[str]:
+        """Run one turn of an instance, and return its replies; raises WireError and ControllerError."""
         controller = self._controllers.get(instance)
         if controller is None:
-            raise WireError(f"SWITCH_TO: field gatekeeper: {instance} was not configured")
+            raise WireError(f"SWITCH_TO: field gatekeeper: {instance} is not configured")
         try:
-            actions = controller.handle(now_ms, happened)
-        except Exception as error:  # the simulator is owed a report, whatever was raised
+            actions = controller.handle(now_ms, new_events)
+        except Exception as error:  # any error is reported to the simulator
             raise ControllerError(instance, error) from error
-        for kept_error in controller.errors:
-            raise ControllerError(instance, kept_error) from kept_error
+        for event_error in controller.errors:
+            raise ControllerError(instance, event_error) from event_error
         return [f"FROM\t{instance}", *map(line_for, actions)] if actions else []
 
-    def _skip(self, name: str) -> None:
-        """Report an unknown message once; raise WireError for one that is out of place."""
-        if is_known(name):
-            raise WireError(f"{name}: out of place")
-        if name not in self._reported:
-            self._reported.add(name)
-            print(f"simulator: message {name[:80]!r} is not known and is skipped", file=self._complaints)
+    def _ignore(self, line: Line) -> None:
+        """Report an unknown message once; raise WireError for a known one, which is out of place."""
+        if line.name is not None:
+            raise WireError(f"{line.wire_name}: out of place")
+        if line.wire_name not in self._reported:
+            self._reported.add(line.wire_name)
+            name = line.wire_name[:MAX_REPORTED_TEXT]
+            print(f"simulator: message {name!r} is unknown and ignored", file=self._error_output)
 
 
 def main() -> int:
     """Serve standard input; return the exit code."""
-    sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
-    sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
+    _use_wire_encoding(sys.stdin)
+    _use_wire_encoding(sys.stdout)
     try:
-        Host(iter(sys.stdin.readline, ""), sys.stdout, sys.stderr).run()
+        SimulatorAdapter(iter(sys.stdin.readline, ""), sys.stdout, sys.stderr).run()
     except (WireError, UnicodeDecodeError) as error:
         print(f"simulator: {error}", file=sys.stderr)
         return EXIT_WIRE_ERROR
     except ControllerError as error:
         traceback.print_exception(error.__cause__, file=sys.stderr)
-        print(f"{error}\nFINISHED", flush=True)
+        print(f"{error}\n{_BATCH_DONE}", flush=True)
         return EXIT_CONTROLLER_ERROR
     return EXIT_OK
+
+
+def _use_wire_encoding(stream: TextIO) -> None:
+    if isinstance(stream, io.TextIOWrapper):
+        stream.reconfigure(encoding="utf-8", newline="\n")
