--- a/tools/standins.py
+++ b/tools/standins.py
@@ -1,9 +1,9 @@
-"""Stand-ins for discovery and one endpoint on loopback, to see a first answer of a gateway.
+"""A discovery service and one endpoint on loopback, to try a gateway by hand.
 
     .venv/bin/python tools/standins.py
 
-writes a configuration, prints the command that starts a gateway with it and the one that asks it, and serves
-until Ctrl-C.
+writes a configuration, prints the command that starts a gateway with it and the command that sends a request,
+and serves until Ctrl-C.
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-HOST = "127.0.0.1"
-GATEWAY_PORT = 8080
-ADMIN_PORT = 9100
-MAX_WATCH_S = 5.0
+HOST = "127.0.0.1"  # address of all servers
+GATEWAY_PORT = 8080  # port of the gateway for clients
+ADMIN_PORT = 9100  # port of the gateway's admin endpoint
+MAX_WATCH_S = 5.0  # time after which a watch ends without a change
+SHORT_WATCH = "timeout_ms=1"  # last query parameter of a watch that has to end at once
 SETTINGS = {
     "balancers": 1,
     "myNumber": 0,
@@ -29,39 +30,39 @@
     "limits": {"maxAttempts": 3, "cancel": True},
     "rules": {"warmUpMs": 0.0, "coldFrom": 1.0, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
 }
-ASK = (
+REQUEST_COMMAND = (
     f"curl -i http://{HOST}:{GATEWAY_PORT}/look/1 -H 'X-Request-Id: first' -H 'X-Tier: basic' "
     "-H 'X-Api-Key: 0000000000000001' -H 'X-Deadline-Ms: 1000' "
     "-H 'X-Call-Terms: units=1,spread=1,first=0'"
 )
 
 
-class Quiet(BaseHTTPRequestHandler):
-    """A handler that logs nothing, and answers in one piece."""
+class QuietHandler(BaseHTTPRequestHandler):
+    """A request handler that writes no log."""
 
     protocol_version = "HTTP/1.1"
 
     def log_message(self, format: str, *args: object) -> None:
-        """Log nothing."""
+        """Write no log."""
 
-    def answer(self, body: bytes) -> None:
-        """Answer with 200 and a body."""
+    def respond(self, body: bytes) -> None:
+        """Send a response with status 200 and this body."""
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
         self.wfile.write(body)
 
 
-class Endpoint(Quiet):
-    """Answers every request."""
+class EndpointHandler(QuietHandler):
+    """The handler of the endpoint, which serves every request."""
 
     def do_GET(self) -> None:
-        """Answer."""
-        self.answer(b"hello from the endpoint\n")
+        """Respond with a fixed body."""
+        self.respond(b"hello from the endpoint\n")
 
 
-def discovery_for(endpoint_port: int) -> type[Quiet]:
-    """Return a discovery service that lists one endpoint and never changes."""
+def discovery_handler(endpoint_port: int) -> type[QuietHandler]:
+    """Return the handler of a discovery service whose list has one endpoint and never changes."""
     entry = {
         "name": "endpoint-1",
         "address": f"{HOST}:{endpoint_port}",
@@ -72,22 +73,23 @@
         "since_ms": 0,
     }
 
-    class Discovery(Quiet):
-        """Answers with the snapshot, and to a watch with no change."""
+    class DiscoveryHandler(QuietHandler):
+        """Responds to a poll with the list, and to a watch, after its timeout, without a change."""
 
         def do_GET(self) -> None:
-            """Answer a poll or a watch."""
+            """Respond to a poll or a watch."""
             is_watch = "since=" in self.path
-            if is_watch and self.path.rpartition("&")[2] != "timeout_ms=1":
+            if is_watch and self.path.rpartition("&")[2] != SHORT_WATCH:
                 time.sleep(MAX_WATCH_S)
-            entries = [] if is_watch else [entry]
-            self.answer(json.dumps({"index": 1, "snapshot": not is_watch, "endpoints": entries}).encode())
+            endpoints = [] if is_watch else [entry]
+            response = {"index": 1, "snapshot": not is_watch, "endpoints": endpoints}
+            self.respond(json.dumps(response).encode())
 
-    return Discovery
+    return DiscoveryHandler
 
 
-def serve(handler: type[Quiet]) -> int:
-    """Serve on a port of the system's choice, and return it."""
+def serve(handler: type[QuietHandler]) -> int:
+    """Serve in a thread, on a port that the system chooses; return the port."""
     server = ThreadingHTTPServer((HOST, 0), handler)
     server.daemon_threads = True
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -96,7 +98,8 @@
 
 def main() -> None:
     """Serve until Ctrl-C."""
-    discovery_port = serve(discovery_for(serve(Endpoint)))
+    endpoint_port = serve(EndpointHandler)
+    discovery_port = serve(discovery_handler(endpoint_port))
     config = {
         "name": "gateway-1",
         "listen": f"{HOST}:{GATEWAY_PORT}",
@@ -108,7 +111,8 @@
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "config.json"
         path.write_text(json.dumps(config))
-        print(f"BALANCER_CONFIG={path} .venv/bin/python -m gateway", ASK, sep="\n", flush=True)
+        print(f"BALANCER_CONFIG={path} .venv/bin/python -m gateway")
+        print(REQUEST_COMMAND, flush=True)
         try:
             threading.Event().wait()
         except KeyboardInterrupt:
