--- /dev/null
+++ b/tests/interface/test_json_object.py
@@ -0,0 +1,56 @@
+"""Tests of interface: typed access to JSON objects."""
+
+import pytest
+
+from gateway.errors import SettingsError
+from gateway.interface.json_object import JsonObject
+
+VALUES = JsonObject(
+    {"number": 1.5, "count": 7, "text": "a", "flag": True, "object": {"inner": 1}, "array": [{}, {"n": 2}]},
+    "top",
+)
+
+
+@pytest.mark.parametrize(
+    ("read", "value"),
+    [
+        (lambda: VALUES.number("number"), 1.5),
+        (lambda: VALUES.number("count"), 7.0),
+        (lambda: VALUES.integer("number"), 1),
+        (lambda: VALUES.text("text"), "a"),
+        (lambda: VALUES.flag("flag"), True),
+        (lambda: VALUES.flag("count"), True),
+        (lambda: VALUES.object("object").number("inner"), 1.0),
+        (lambda: VALUES.array("array"), [{}, {"n": 2}]),
+        (lambda: VALUES.words("array"), ("{}", "{'n': 2}")),
+        (lambda: VALUES.words("missing"), ()),
+        (lambda: VALUES.number("missing", 3.0), 3.0),
+        (lambda: VALUES.text("missing", "b"), "b"),
+        (lambda: VALUES.flag("missing", False), False),
+        (lambda: VALUES.object("missing", {}).value, {}),
+    ],
+)
+def test_value_of_the_expected_type_is_returned(read, value):
+    assert read() == value
+
+
+@pytest.mark.parametrize(
+    ("read", "error"),
+    [
+        (lambda: VALUES.number("missing"), "top.missing: it is missing"),
+        (lambda: VALUES.number("text"), "top.text: cannot read 'a'"),
+        (lambda: VALUES.number("flag"), "top.flag: cannot read True"),
+        (lambda: VALUES.text("count"), "top.count: cannot read 7"),
+        (lambda: VALUES.flag("number"), "top.number: cannot read 1.5"),
+        (lambda: VALUES.object("text"), "top.text: cannot read 'a'"),
+        (lambda: VALUES.object("object").text("inner"), "top.object.inner: cannot read 1"),
+        (lambda: VALUES.objects("array")[1].text("n"), r"top.array\[1\].n: cannot read 2"),
+        (lambda: VALUES.array("missing"), "top.missing: it is missing"),
+        (lambda: JsonObject({"n": 10**400}, "top").number("n"), "top.n: cannot read inf"),
+        (lambda: JsonObject({"n": None}, "top").number("n", 1.0), "top.n: it is missing"),
+        (lambda: JsonObject([], "top"), "top: an object is expected"),
+    ],
+)
+def test_missing_value_and_value_of_another_type_are_reported_by_their_path(read, error):
+    with pytest.raises(SettingsError, match=f"^{error}$"):
+        read()
--- /dev/null
+++ b/tests/policy/gossip/test_outbox.py
@@ -0,0 +1,48 @@
+"""Tests of gossip: outbox."""
+
+import pytest
+
+from gateway.gossip.codec import MAX_ENTRIES, EntryKind, QuotaEntry
+from gateway.policy.gossip.outbox import EntryOutbox
+
+
+def entries(count):
+    return [QuotaEntry(EntryKind.REQUEST, 1, number, 1.0, 0.0, 0, 0) for number in range(count)]
+
+
+def outbox_with(counts):
+    """An outbox with so many entries for each gateway."""
+    outbox = EntryOutbox()
+    for gateway, count in counts.items():
+        for entry in entries(count):
+            outbox.add(gateway, entry)
+    return outbox
+
+
+def test_new_outbox_is_empty():
+    assert not EntryOutbox()
+    assert list(EntryOutbox()) == []
+
+
+def test_message_has_the_entries_of_its_gateway_in_their_order():
+    outbox = outbox_with({3: 2, 1: 1})
+    assert list(outbox) == [3, 1]
+    (message,) = outbox.take([3])
+    assert message.gateway == 3
+    assert message.entries == entries(2)
+    assert list(outbox) == [1]
+
+
+def test_entries_beyond_a_message_stay_queued():
+    outbox = outbox_with({2: MAX_ENTRIES + 3})
+    (first,) = outbox.take([2])
+    assert outbox
+    (second,) = outbox.take([2])
+    assert not outbox
+    assert first.entries + second.entries == entries(MAX_ENTRIES + 3)
+    assert len(first.entries) == MAX_ENTRIES
+
+
+def test_gateway_without_entries_is_an_error():
+    with pytest.raises(KeyError):
+        EntryOutbox().take([5])
