--- a/tests/policy/endpoints/test_directory.py
+++ b/tests/policy/endpoints/test_directory.py
@@ -28,7 +28,7 @@
     directories = [
         EndpointDirectory(PolicyContext(settings(number=n, gateways=gateways), 1)) for n in range(gateways)
     ]
-    return [directory.preferred_part(endpoints) for directory in directories]
+    return [directory.preferred_subset(endpoints) for directory in directories]
 
 
 def endpoint_records(count, zones=2):
