--- a/tests/compatibility/test_clients.py
+++ b/tests/compatibility/test_clients.py
@@ -2,17 +2,17 @@
 
 import asyncio
 
-from support.configurations import endpoint_entry
-from support.fake_endpoint import FakeEndpoint
+import pytest
 from support.http_messages import http_request, http_response
 from support.recordings import BOOK_REQUEST, check_json_recording, modified_request, raw_response
-from support.running_gateway import RunningGateway
 from support.scripted_controller import ScriptedController
 
 from gateway.interface.actions import Fail, Reject
 from gateway.interface.events import RequestArrived
 
 LOOK_REQUEST = {"path": "/look"}
+READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
+SETTLE_S = 0.05  # for the gateway to read pipelined bytes
 
 
 BAD_REQUESTS = {
@@ -51,12 +51,9 @@
 }
 
 
-async def test_responses_to_each_kind_of_bad_input():
-    async with RunningGateway(ScriptedController()) as running_gateway:
-        check_json_recording(
-            "bad-input.json",
-            {name: await raw_response(running_gateway.port, data) for name, data in BAD_REQUESTS.items()},
-        )
+async def test_responses_to_each_kind_of_bad_input(running_gateway):
+    responses = {name: await raw_response(running_gateway.port, data) for name, data in BAD_REQUESTS.items()}
+    check_json_recording("bad-input.json", responses)
 
 
 class AnsweringController(ScriptedController):
@@ -67,30 +64,23 @@
         return [finals[event.id % 3](event.id) for event in events if isinstance(event, RequestArrived)]
 
 
-async def test_final_answers_without_an_endpoint_and_readiness():
-    async with RunningGateway(AnsweringController()) as running_gateway:
-        replies = [
-            await raw_response(running_gateway.port, http_request(extra=extra))
-            for extra in ("", "", "", "Connection: close\r\n")
-        ]
-        up = b"GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-        replies.append(await raw_response(running_gateway.port, up))
-        running_gateway.gateway.ready = False
-        replies.append(await raw_response(running_gateway.port, up))
-        check_json_recording("final-answers.json", replies)
+@pytest.mark.scripted_controller(factory=AnsweringController)
+async def test_final_answers_without_an_endpoint_and_readiness(running_gateway, gateway):
+    port = running_gateway.port
+    requests = [http_request(extra=extra) for extra in ("", "", "", "Connection: close\r\n")]
+    responses = [await raw_response(port, request) for request in requests]
+    responses.append(await raw_response(port, READINESS_REQUEST))
+    gateway.ready = False
+    responses.append(await raw_response(port, READINESS_REQUEST))
+    check_json_recording("final-answers.json", responses)
 
 
-async def test_id_in_use_and_pipelined_request():
-    async with (
-        FakeEndpoint() as endpoint,
-        RunningGateway(ScriptedController(), known=[endpoint_entry("w1", endpoint.port)]) as running_gateway,
-    ):
-        client = await running_gateway.connect()
-        client.send(http_request("00000000000000d1"))
-        _, writer = await endpoint.next_request()
-        replies = [await raw_response(running_gateway.port, http_request("00000000000000d1"))]
-        client.send(http_request("00000000000000d2"))
-        await asyncio.sleep(0.05)
-        writer.write(http_response(body=b"first"))
-        replies.append((await client.reader.read()).decode())
-        check_json_recording("in-use.json", replies)
+async def test_id_in_use_and_pipelined_request(endpoint, running_gateway, client):
+    client.send(http_request("00000000000000d1"))
+    _, writer = await endpoint.next_request()
+    responses = [await raw_response(running_gateway.port, http_request("00000000000000d1"))]
+    client.send(http_request("00000000000000d2"))
+    await asyncio.sleep(SETTLE_S)
+    writer.write(http_response(body=b"first"))
+    responses.append((await client.reader.read()).decode())
+    check_json_recording("in-use.json", responses)
--- a/tests/compatibility/test_simulated_day.py
+++ b/tests/compatibility/test_simulated_day.py
@@ -1,6 +1,5 @@
 """Tests of the decisions over a simulated day, against a recording."""
 
-import asyncio
 import json
 import os
 import subprocess
@@ -8,10 +7,9 @@
 import tomllib
 
 import pytest
+from support.polling import wait_until
 from support.processes import ROOT
 from support.recordings import check_recording
-from support.running_gateway import RunningGateway
-from support.scripted_controller import ScriptedController
 
 from gateway.gossip import codec
 from gateway.interface.actions import SetTimer
@@ -149,13 +147,11 @@
     check_recording("simulated-day.txt", done.stdout)
 
 
+@pytest.mark.scripted_controller(endpoint=None)
 @pytest.mark.parametrize("after_ms", [0.0, 12.5])
-async def test_wake_up_falls_on_the_grid_of_ticks(after_ms):
-    controller = ScriptedController(endpoint="")
-    async with RunningGateway(controller) as running_gateway:
-        controller.pending_actions = [SetTimer(after_ms, "agenda")]
-        began_ms = running_gateway.gateway.clock.now()
-        running_gateway.gateway.enqueue(TimerFired("begin"))
-        while not [event for event in controller.events if event == TimerFired("agenda")]:
-            await asyncio.sleep(0.001)
-        assert running_gateway.gateway.clock.now() - began_ms >= after_ms
+async def test_wake_up_falls_on_the_grid_of_ticks(after_ms, controller, gateway):
+    controller.pending_actions = [SetTimer(after_ms, "agenda")]
+    began_ms = gateway.clock.now()
+    gateway.enqueue(TimerFired("begin"))
+    await wait_until(lambda: TimerFired("agenda") in controller.events)
+    assert gateway.clock.now() - began_ms >= after_ms
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,10 +6,12 @@
 import pytest
 import pytest_asyncio
 import uvloop
-from support.configurations import configuration
+from support.configurations import configuration, endpoint_entry
 from support.fake_discovery import FakeDiscovery
 from support.fake_endpoint import FakeEndpoint
 from support.processes import free_port
+from support.running_gateway import RunningGateway
+from support.scripted_controller import ScriptedController
 
 ASYNC_TEST_TIMEOUT_S = 30.0  # a test on the event loop takes longer only if it hangs
 
@@ -41,6 +43,37 @@
         yield service
 
 
+@pytest_asyncio.fixture
+async def controller(request):
+    """The gateway's controller, as the test's `scripted_controller` marker describes it."""
+    marker = request.node.get_closest_marker("scripted_controller")
+    if marker is None:
+        return ScriptedController()
+    options = dict(marker.kwargs)
+    factory = options.pop("factory", ScriptedController)
+    return factory(**options)
+
+
+@pytest_asyncio.fixture
+async def running_gateway(controller, endpoint):
+    """A running gateway whose controller is scripted."""
+    known = [endpoint_entry("w1", endpoint.port)]
+    async with RunningGateway(controller, known=known) as running_gateway:
+        yield running_gateway
+
+
+@pytest.fixture
+def gateway(running_gateway):
+    """The program's gateway object."""
+    return running_gateway.gateway
+
+
+@pytest_asyncio.fixture
+async def client(running_gateway):
+    """A connected client of the gateway."""
+    return await running_gateway.connect()
+
+
 @pytest.fixture
 def port():
     """The port on which a gateway process accepts clients."""
--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -25,15 +25,13 @@
         (b"GET /_ready HTTP/1.1\r\nA: " + bytes(20_000).replace(b"\0", b"a"), 431),
     ],
 )
-async def test_admin_calls_get_their_status(data, status):
-    async with RunningGateway(ScriptedController()) as running_gateway:
-        assert (await admin_call(running_gateway, data))[0] == status
+async def test_admin_calls_get_their_status(data, status, running_gateway):
+    assert (await admin_call(running_gateway, data))[0] == status
 
 
-async def test_readiness_is_503_before_the_process_serves():
-    async with RunningGateway(ScriptedController()) as running_gateway:
-        running_gateway.gateway.ready = False
-        assert (await admin_call(running_gateway, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
+async def test_readiness_is_503_before_the_process_serves(running_gateway, gateway):
+    gateway.ready = False
+    assert (await admin_call(running_gateway, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
 
 
 async def read_to_end(client):
@@ -43,19 +41,16 @@
         return b""
 
 
-async def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch):
+async def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch, running_gateway):
     monkeypatch.setattr(admin_endpoint, "CALL_MS", 200.0)
-
-    async with RunningGateway(ScriptedController()) as running_gateway:
-        callers = [
-            await TestClient().connect(running_gateway.admin_port) for _ in range(3 * admin_endpoint.MOST)
-        ]
-        for caller in callers:
-            caller.send(b"GET /_ready HT")
-        assert await read_metrics(running_gateway)
-        assert len(running_gateway.admin.callers) <= admin_endpoint.MOST
-        responses = [await read_to_end(caller) for caller in callers]
-        assert all(text == b"" or b" 408 " in text for text in responses) and any(responses)
+    max_callers = admin_endpoint.MOST
+    callers = [await TestClient().connect(running_gateway.admin_port) for _ in range(3 * max_callers)]
+    for caller in callers:
+        caller.send(b"GET /_ready HT")
+    assert await read_metrics(running_gateway)
+    assert len(running_gateway.admin.callers) <= max_callers
+    responses = [await read_to_end(caller) for caller in callers]
+    assert all(text == b"" or b" 408 " in text for text in responses) and any(responses)
 
 
 def test_admin_address_comes_from_configuration_or_environment():
--- a/tests/network/admin/test_metrics.py
+++ b/tests/network/admin/test_metrics.py
@@ -1,11 +1,10 @@
 """Tests of the metrics."""
 
 import asyncio
-import re
 
+import pytest
 from support.admin_calls import read_metrics
 from support.configurations import endpoint_entry
-from support.fake_endpoint import FakeEndpoint
 from support.http_messages import http_request, http_response
 from support.running_gateway import RunningGateway
 from support.scripted_controller import ScriptedController
@@ -38,26 +37,25 @@
         )
 
 
-async def test_each_request_is_counted_once():
-    async with (
-        FakeEndpoint() as endpoint,
-        RunningGateway(MixedController(), known=[endpoint_entry("w1", endpoint.port)]) as running_gateway,
-    ):
-        client = await running_gateway.connect()
-        for number in range(1, 31):
-            client.send(http_request(path="/book/1", key="k") if number % 2 else http_request())
-            if number % 3 == 0:
-                _, writer = await endpoint.next_request()
-                assert (await read_metrics(running_gateway))["open_requests"] == 1
-                writer.write(http_response(200 if number % 9 else 500))
-            await client.next_response()
-        client.send(b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n")  # rejected before it counts as an operation
-        assert (await client.next_response()).status == 404
-        metrics = await read_metrics(running_gateway)
-        totals = {
-            outcome: sum(value for name, value in metrics.items() if f'status="{outcome}"' in name)
-            for outcome in ("fulfilled", "throttled", "faulted")
-        }
-        assert totals == {"fulfilled": 7, "throttled": 10, "faulted": 13}
-        assert sum(value for name, value in metrics.items() if re.search('priority="book"', name)) == 15
-        assert metrics["relayed_total"] == 10 and metrics["open_requests"] == 0
+def total(metrics, label):
+    """Return the sum of the metrics with this label."""
+    return sum(value for name, value in metrics.items() if label in name)
+
+
+@pytest.mark.scripted_controller(factory=MixedController)
+async def test_each_request_is_counted_once(endpoint, running_gateway, client):
+    for number in range(1, 31):
+        client.send(http_request(path="/book/1", key="k") if number % 2 else http_request())
+        if number % 3 == 0:
+            _, writer = await endpoint.next_request()
+            assert (await read_metrics(running_gateway))["open_requests"] == 1
+            writer.write(http_response(200 if number % 9 else 500))
+        await client.next_response()
+    client.send(b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n")  # rejected before it counts as an operation
+    assert (await client.next_response()).status == 404
+    metrics = await read_metrics(running_gateway)
+    outcomes = ("fulfilled", "throttled", "faulted")
+    totals = {outcome: total(metrics, f'status="{outcome}"') for outcome in outcomes}
+    assert totals == {"fulfilled": 7, "throttled": 10, "faulted": 13}
+    assert total(metrics, 'priority="book"') == 15
+    assert metrics["relayed_total"] == 10 and metrics["open_requests"] == 0
