--- a/tests/policy/endpoints/test_endpoint_table.py
+++ b/tests/policy/endpoints/test_endpoint_table.py
@@ -8,8 +8,8 @@
 def test_restarted_endpoint_keeps_its_attempts_in_flight():
     controller = new_controller()
     (send,) = sends_in(controller.handle(1000, [SIX_ENDPOINTS, arrival(1)]))
-    old = controller.directory.table.known[send.endpoint].entry
+    old = controller.directory.table.by_id[send.endpoint].entry
     restarted = Endpoint(old.id, old.zone, old.cell, EndpointState.READY, 1.0, 1005.0)
     controller.handle(1010, [EndpointUpdate((restarted,), is_snapshot=False)])
     controller.handle(1020, [attempt_ended(send, AttemptResult.RESET)])
-    assert controller.directory.table.known[send.endpoint].in_flight == 0
+    assert controller.directory.table.by_id[send.endpoint].in_flight == 0
--- a/tests/policy/requests/test_streamed_requests.py
+++ b/tests/policy/requests/test_streamed_requests.py
@@ -45,11 +45,11 @@
     (send,) = sends_in(controller.handle(0.0, [SIX_ENDPOINTS, incomplete_arrival(1)]))
     in_flight = controller.flow.attempts.limiter.in_flight
     table = controller.directory.table
-    assert in_flight.value == 0 and not any(record.in_flight for record in table.known.values())
+    assert in_flight.value == 0 and not any(record.in_flight for record in table.by_id.values())
     controller.handle(4.0, [RequestCompleted(1, 1504.0)])
-    assert in_flight.value == 1 and table.known[send.endpoint].in_flight == 1
+    assert in_flight.value == 1 and table.by_id[send.endpoint].in_flight == 1
     controller.handle(8.0, [ResponseStarted(1, 0, send.endpoint)])
     assert in_flight.value == 0
     controller.handle(12.0, [AttemptEnded(1, 0, send.endpoint, 8.0, AttemptResult.OK, True)])
-    assert in_flight.value == 0 and table.known[send.endpoint].in_flight == 0
+    assert in_flight.value == 0 and table.by_id[send.endpoint].in_flight == 0
     assert not [*controller.flow.attempts.table]
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -63,11 +63,11 @@
     arrivals = [arrival(n, deadline_at_ms=600_000.0) for n in range(9)]
     sends = sends_in(controller.handle(1001, arrivals))
     controller.handle(1002, [EndpointUpdate(())])
-    assert set(controller.directory.table.known) == {send.endpoint for send in sends}
+    assert set(controller.directory.table.by_id) == {send.endpoint for send in sends}
     controller.handle(1003, [attempt_ended(send, AttemptResult.OK) for send in sends])
     for n in range(20):
         controller.handle(1100 + 100 * n, [])
-    assert not controller.directory.table.known and not controller.directory.table.by_tag
+    assert not controller.directory.table.by_id and not controller.directory.table.by_tag
     for n in range(1000):
         controller.context.timers.schedule(600_000.0 + n, TimerKind.DEADLINE, 7)
     controller.context.timers.compact(controller.flow.open)
@@ -95,7 +95,7 @@
     controller = new_controller(gateways=FLEET_SIZE, number=0)
     controller.handle(1000, [EndpointUpdate(endpoints)])
     table = controller.directory.table
-    assert len(table.known) == FLEET_SIZE and len(table.by_tag) > 0.97 * FLEET_SIZE
+    assert len(table.by_id) == FLEET_SIZE and len(table.by_tag) > 0.97 * FLEET_SIZE
     chosen = set()
     receivers = set()
     for turn in range(600):
@@ -116,7 +116,7 @@
     controller.handle(3410, [GossipReceived(FLEET_SIZE - 1, data), GossipReceived(FLEET_SIZE, data)])
     received_at_ms = controller.pace.received_at_ms
     assert FLEET_SIZE - 1 in received_at_ms and FLEET_SIZE not in received_at_ms
-    assert table.known[endpoints[1000].id].failures
+    assert table.by_id[endpoints[1000].id].failures
     assert not controller.errors
 
 
