--- a/gateway/network/upstream/exchange.py
+++ b/gateway/network/upstream/exchange.py
@@ -38,6 +38,7 @@
 
 
 # The states as constants of the module: access to the members of an enum is slow in Python 3.11.
+_RECEIVING = ExchangeState.RECEIVING
 _COMPLETE = ExchangeState.COMPLETE
 _FAILED = ExchangeState.FAILED
 
@@ -64,7 +65,7 @@
         """Expect the response to the attempt; the source's reading is paused while the client is slow."""
         self.attempt = attempt
         self.sink: ResponseSink | None = None  # receives the body once it is forwarded
-        self.state = ExchangeState.RECEIVING
+        self.state = _RECEIVING
         self.is_reusable = False  # the endpoint accepts another request on the connection
         self._source = source
         self._reader = ResponseReader()
--- a/gateway/network/upstream/load_report.py
+++ b/gateway/network/upstream/load_report.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import math
 
 MAX_REPORTED_LOAD = 1e6  # largest accepted value of a field, in the field's unit
 
@@ -24,8 +23,5 @@
             values = tuple(float(report[field]) for field in self._fields)
         except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
             return ()
-        return values if all(_is_in_range(value) for value in values) else ()
-
-
-def _is_in_range(value: float) -> bool:
-    return math.isfinite(value) and 0 <= value <= MAX_REPORTED_LOAD
+        # NaN is in no range.
+        return values if all(0 <= value <= MAX_REPORTED_LOAD for value in values) else ()
--- a/gateway/network/upstream/request_writer.py
+++ b/gateway/network/upstream/request_writer.py
@@ -18,6 +18,13 @@
     WRITTEN = auto()  # the last part has been handed to the operating system
 
 
+# The states as constants of the module: access to the members of an enum is slow in Python 3.11.
+_WRITING = WriterState.WRITING
+_BLOCKED = WriterState.BLOCKED
+_FLUSHING = WriterState.FLUSHING
+_WRITTEN = WriterState.WRITTEN
+
+
 class RequestWriter:
     """Writes requests to one connection, one after another.
 
@@ -47,16 +54,16 @@
     @property
     def blocked(self) -> bool:
         """Return whether the transport's buffer is full."""
-        return self.state is WriterState.BLOCKED or self.state is WriterState.FLUSHING
+        return self.state is _BLOCKED or self.state is _FLUSHING
 
     @property
     def is_unsent(self) -> bool:
         """Return whether the request's last byte has not been handed to the operating system."""
-        return self.state is not WriterState.WRITTEN
+        return self.state is not _WRITTEN
 
     def start(self) -> None:
         """Begin with another request."""
-        self.state = WriterState.WRITING
+        self.state = _WRITING
 
     def write_part(self, data: bytes) -> None:
         """Write a part of the request that is not its last."""
@@ -65,26 +72,26 @@
     def write_last(self, data: bytes) -> None:
         """Write the last part of the request."""
         self._transport.write(data)
-        if self.state is WriterState.WRITING:
+        if self.state is _WRITING:
             self._on_written()
         else:
-            self.state = WriterState.FLUSHING
+            self.state = _FLUSHING
 
     def on_buffer_full(self) -> None:
         """Record that the transport's buffer is full."""
-        if self.state is WriterState.WRITTEN:
+        if self.state is _WRITTEN:
             self._metrics.relayed -= 1
-            self.state = WriterState.FLUSHING
-        elif self.state is not WriterState.FLUSHING:
-            self.state = WriterState.BLOCKED
+            self.state = _FLUSHING
+        elif self.state is not _FLUSHING:
+            self.state = _BLOCKED
 
     def on_buffer_empty(self) -> None:
         """Record that the transport's buffer is empty again."""
-        if self.state is WriterState.FLUSHING:
+        if self.state is _FLUSHING:
             self._on_written()
-        elif self.state is WriterState.BLOCKED:
-            self.state = WriterState.WRITING
+        elif self.state is _BLOCKED:
+            self.state = _WRITING
 
     def _on_written(self) -> None:
-        self.state = WriterState.WRITTEN
+        self.state = _WRITTEN
         self._metrics.relayed += 1
