--- a/gateway/network/upstream/response_sink.py
+++ b/gateway/network/upstream/response_sink.py
@@ -7,9 +7,9 @@
 
 
 class ResponseSink(Protocol):
-    """The client's side of a response that is forwarded while it comes."""
+    """The client's side of a response that is forwarded while it is received."""
 
     transport: asyncio.Transport | None
 
     def forward(self, part: bytes) -> None:
-        """Write the next part."""
+        """Write the next part of the body."""
