--- a/tests/support/client.py
+++ b/tests/support/client.py
@@ -12,10 +12,12 @@
     __test__ = False  # pytest does not collect it
 
     async def connect(self, port):
+        """Open the connection, and return this client."""
         self.reader, self.writer = await asyncio.open_connection(HOST, port)
         return self
 
     def send(self, data):
+        """Write the bytes, and return this client."""
         self.writer.write(data)
         return self
 
@@ -31,4 +33,5 @@
             return True
 
     def close(self):
+        """Close the connection."""
         self.writer.close()
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -68,6 +68,7 @@
                 self.queue.schedule(learned_ms, n, EndpointUpdate(tuple(after)))
 
     def run(self):
+        """Simulate the time up to some seconds after the start of the cold endpoints."""
         while self.now < self.cold_start_ms + DURATION_MS:
             self.now += TICK_MS
             inboxes = defaultdict(list)
--- a/tests/support/event_queue.py
+++ b/tests/support/event_queue.py
@@ -22,6 +22,7 @@
         self._serials = itertools.count()
 
     def schedule(self, at_ms, gateway, event):
+        """Add an event that reaches the gateway at this time."""
         heapq.heappush(self._heap, QueuedEvent(at_ms, next(self._serials), gateway, event))
 
     def pop_due(self, now):
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -24,11 +24,13 @@
         self.port = port
 
     async def __aenter__(self):
+        """Start to listen."""
         self.server = await asyncio.start_server(self._serve, HOST, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def __aexit__(self, *_):
+        """Stop listening."""
         self.server.close()
 
     async def _serve(self, reader, writer):
@@ -39,4 +41,5 @@
             pass
 
     async def next_call(self):
+        """Return the next call."""
         return await self.calls.get()
--- a/tests/support/fake_endpoint.py
+++ b/tests/support/fake_endpoint.py
@@ -17,6 +17,7 @@
 
     @property
     def is_disconnect(self):
+        """Whether this is the end of a connection."""
         return self.message is None
 
 
@@ -30,11 +31,13 @@
         self.writers = []
 
     async def __aenter__(self):
+        """Start to listen."""
         self.server = await asyncio.start_server(self._serve, HOST, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def __aexit__(self, *_):
+        """Stop listening, and abort all connections."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
@@ -58,6 +61,7 @@
     """An endpoint that leaves reading and writing to the test."""
 
     async def __aenter__(self):
+        """Start to listen."""
         self.accepted = asyncio.Queue()
         self.server = await asyncio.start_server(self._serve, HOST, 0, limit=READ_BUFFER_BYTES)
         self.port = self.server.sockets[0].getsockname()[1]
@@ -65,6 +69,7 @@
         return self
 
     async def __aexit__(self, *_):
+        """Stop listening, and abort all connections."""
         self.server.close()
         for writer in self.writers:
             writer.transport.abort()
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -45,15 +45,19 @@
         self.is_complete = False
 
     def on_url(self, url):
+        """Take a piece of the request's target."""
         self.url += url
 
     def on_header(self, name, value):
+        """Take a header field."""
         self.headers[name.decode().lower()] = value.decode()
 
     def on_body(self, part):
+        """Take a piece of the body."""
         self.body += part
 
     def on_message_complete(self):
+        """Note the end of the message."""
         self.is_complete = True
 
 
@@ -66,6 +70,7 @@
 
     @property
     def status_and_body(self):
+        """The two parts that most tests compare."""
         return self.status, self.body
 
 
--- a/tests/support/policy_events.py
+++ b/tests/support/policy_events.py
@@ -19,6 +19,7 @@
 
 
 def new_controller(**more):
+    """Return a controller with these changes of the settings."""
     return Controller(settings(**more), 1)
 
 
@@ -34,26 +35,32 @@
 
 
 def actions_of(kind, actions):
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def sends_in(actions):
+    """Return the actions that send an attempt."""
     return actions_of(SendAttempt, actions)
 
 
 def rejections_in(actions):
+    """Return the actions that reject a request."""
     return actions_of(Reject, actions)
 
 
 def failures_in(actions):
+    """Return the actions that fail a request."""
     return actions_of(Fail, actions)
 
 
 def datagrams_in(actions):
+    """Return the actions that send a datagram."""
     return actions_of(SendGossip, actions)
 
 
 def timers_in(actions):
+    """Return the actions that request a wake-up."""
     return actions_of(SetTimer, actions)
 
 
@@ -63,6 +70,7 @@
 
 
 def quota_entry(kind, customer="c", serial=1, units=1.0, demand_per_s=0.0, class_index=0, plan_index=0):
+    """Return an entry of a datagram about a customer's quota."""
     return codec.QuotaEntry(
         kind, codec.customer_tag(customer), serial, units, demand_per_s, class_index, plan_index
     )
@@ -74,4 +82,5 @@
 
 
 def rows_by_name(rows):
+    """Return plans or classes by their names."""
     return {row.name: row for row in rows}
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -70,6 +70,7 @@
         self.rejected_within_quota = 0  # of the same customers
 
     def run(self):
+        """Simulate the time up to the end."""
         while self.now < START_MS + DURATION_MS:
             self.now += TICK_MS
             if self.rng.random() < sum(self.use) * PLAN.rate_per_s * TICK_MS / 1000:
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -26,6 +26,7 @@
     not_executed: set[int] = field(default_factory=set)
 
     def possibly_executed(self):
+        """Return the attempts that are not proved not to have been executed."""
         return [attempt for n, attempt in enumerate(self.attempts) if n not in self.not_executed]
 
 
@@ -41,16 +42,20 @@
         self.ceilings = {}  # level and time of each customer's bucket
 
     def class_of(self, request_id):
+        """Return the class of a request."""
         return self.classes[self.requests[request_id].arrival.class_name]
 
     def deadline_at_ms(self, request_id):
+        """Return the deadline of a request."""
         return self.requests[request_id].arrival.deadline_at_ms
 
     def on_arrival(self, gateway, arrival):
+        """Begin to check a request, which arrived at this gateway."""
         self.open[arrival.id] = gateway
         self.requests[arrival.id] = CheckedRequest(arrival)
 
     def on_gateway_killed(self, gateway):
+        """End the requests of a gateway, whose clients lose their connections."""
         for request_id in [request_id for request_id, owner in self.open.items() if owner == gateway]:
             self.close(request_id)
 
@@ -60,6 +65,7 @@
         return self.open.pop(request_id)
 
     def on_not_executed(self, request_id, attempt):
+        """Note the proof that an attempt was not executed."""
         self.requests[request_id].not_executed.add(attempt)
 
     def on_send(self, now, action, endpoint, withdrawn_ms):
--- a/tests/support/running_gateway.py
+++ b/tests/support/running_gateway.py
@@ -22,6 +22,7 @@
         self.server = None
 
     async def __aenter__(self):
+        """Start to serve clients and admin calls."""
         self.server = await asyncio.get_running_loop().create_server(
             lambda: ClientConnection(self.gateway), HOST, 0
         )
@@ -33,6 +34,7 @@
         return self
 
     async def __aexit__(self, *_):
+        """Stop accepting connections."""
         self.server.close()
         self.admin.close()
 
--- a/tests/support/scripted_controller.py
+++ b/tests/support/scripted_controller.py
@@ -23,6 +23,7 @@
         self.event_received = asyncio.Event()
 
     def handle(self, _now, events):
+        """Keep the events, and return the actions of this turn."""
         self.events += events
         self.event_received.set()
         actions = self.pending_actions
@@ -35,6 +36,7 @@
         return actions
 
     def endpoint_counts(self, _now):
+        """Return zero listed and zero avoided endpoints."""
         return 0, 0
 
     async def next_event(self, kind):
--- a/tests/support/simulated_endpoints.py
+++ b/tests/support/simulated_endpoints.py
@@ -37,6 +37,7 @@
         self.withdrawn_ms = {n: {} for n in range(gateways)}
 
     def find(self, endpoint_id):
+        """Return the endpoint with this id."""
         return next(endpoint for endpoint in self.all if endpoint.id == endpoint_id)
 
     def change_one(self, now):
@@ -60,6 +61,7 @@
         self.withdrawn_ms[gateway] = {endpoint.id: now for endpoint in withdrawn}
 
     def draw_result(self, timeout_ms):
+        """Draw the end of an attempt with this timeout."""
         (result,) = self.rng.choices([*RESULT_WEIGHTS], [*RESULT_WEIGHTS.values()])
         duration_ms = min(self.rng.expovariate(1 / MEAN_ATTEMPT_MS), timeout_ms)
         if result is AttemptResult.TIMEOUT:
--- a/tests/support/simulated_watch.py
+++ b/tests/support/simulated_watch.py
@@ -33,12 +33,15 @@
         self.succeeded_s = []  # ends of the successful calls
 
     def time(self):
+        """Return the simulated time, as an event loop does."""
         return self.now_s
 
     async def sleep(self, seconds):
+        """Let simulated time pass."""
         self.now_s += seconds
 
     async def call(self, _target, timeout_s):
+        """Stand for a call at the discovery service."""
         self.began_s.append(self.now_s)
         outcome = self.respond(self.now_s, timeout_s)
         self.now_s += outcome.duration_s
@@ -50,6 +53,7 @@
         return outcome.result
 
     async def run(self, monkeypatch, **options):
+        """Run the watch to its end."""
         discovery = Discovery((HOST, 9), print, FIRST_INDEX, **options)
         discovery._call = self.call
         with monkeypatch.context() as patch:
