--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -64,6 +64,6 @@
 @pytest.mark.parametrize("sockets", [96, 192, 256, 1024])
 async def test_descriptors_for_the_admin_endpoint_are_reserved(sockets):
     gateway = RunningGateway(ScriptedController(), limits={"sockets": sockets}).gateway
-    rest = sockets - gateway.connections.max_admitted - gateway.upstreams._max
+    rest = sockets - gateway.connections.max_admitted - gateway.upstreams.max_connections
     assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + admin_endpoint.MOST + 3
     assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)
--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -61,7 +61,7 @@
 async def test_no_attempt_starts_for_a_client_whose_end_is_unread(
     monkeypatch, endpoint, controller, gateway, running_gateway, client
 ):
-    monkeypatch.setattr("gateway.network.upstream.connection.REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr("gateway.network.upstream.endpoint.REUSE_DELAY_MS", 0.0)
     await complete_request(endpoint, client)  # leaves an idle connection to the endpoint
     await controller.next_event(RequestArrived)
     await controller.next_event(AttemptEnded)
--- a/tests/network/discovery/conftest.py
+++ b/tests/network/discovery/conftest.py
@@ -6,7 +6,7 @@
 import pytest_asyncio
 from support.addresses import HOST
 
-from gateway.network.discovery.watch import Discovery
+from gateway.network.discovery.watch import EndpointWatch
 
 
 @pytest.fixture
@@ -24,7 +24,7 @@
     tasks = []
 
     def start(port, *index):
-        discovery = Discovery((HOST, port), received_lists.put_nowait, *index)
+        discovery = EndpointWatch((HOST, port), received_lists.put_nowait, *index)
         tasks.append(asyncio.create_task(discovery.run()))
         return discovery
 
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -10,14 +10,14 @@
 from support.fake_discovery import WATCH_TARGET
 from support.simulated_watch import FIRST_INDEX, UNCHANGED, CallOutcome, simulate_watch
 
-from gateway.network.discovery.backoff import CallPace
+from gateway.network.discovery.backoff import DiscoveryBackoff
 from gateway.network.discovery.client import (
     DiscoveryError,
     DiscoveryOverloadedError,
     DiscoveryTimeoutError,
-    InvalidAnswerError,
+    InvalidResponseError,
 )
-from gateway.network.discovery.watch import Discovery
+from gateway.network.discovery.watch import EndpointWatch
 
 OVERLOADED = DiscoveryOverloadedError("status 503")
 TIMED_OUT = DiscoveryTimeoutError("no answer in time")
@@ -26,7 +26,7 @@
     "503": (OVERLOADED, 0.0),
     "429 after 2 s": (DiscoveryOverloadedError("status 429"), 2.0),
     "reset": (DiscoveryError("the connection failed"), 0.0),
-    "unreadable": (InvalidAnswerError("no JSON"), 0.0),
+    "unreadable": (InvalidResponseError("no JSON"), 0.0),
     "silence": (TIMED_OUT, UNTIL_TIMEOUT),
 }
 
@@ -47,7 +47,7 @@
 def test_refused_fleet_spreads_its_retries(fleet, monkeypatch):
     """Of a large fleet no 0.5 s get many more retries than an even spread over the backoff would give."""
     watches = [
-        simulate_watch(monkeypatch, overloaded_for_30_s, fleet=fleet, seed=seed) for seed in range(fleet)
+        simulate_watch(monkeypatch, overloaded_for_30_s, fleet_size=fleet, seed=seed) for seed in range(fleet)
     ]
     calls_s = [watch.began_s[1:-1] for watch in watches]
     assert len({calls[1] for calls in calls_s}) == fleet
@@ -76,7 +76,7 @@
             rejected_s.append(now_s)
             return CallOutcome(OVERLOADED, 2.0)
 
-        watch = simulate_watch(monkeypatch, respond, fleet=fleet, seed=seed)
+        watch = simulate_watch(monkeypatch, respond, fleet_size=fleet, seed=seed)
         assert watch.succeeded_s[1] <= rejected_s[0] + 6.0
 
 
@@ -96,7 +96,9 @@
                 return CallOutcome(UNCHANGED, 0.01 if pushed else 2.0)
             return CallOutcome(error, timeout_s if failing_s is UNTIL_TIMEOUT else failing_s)
 
-        watch = simulate_watch(monkeypatch, respond, fleet=fleet, seed=seed, pushed=pushed, grace_s=2.0)
+        watch = simulate_watch(
+            monkeypatch, respond, fleet_size=fleet, seed=seed, is_pushed=pushed, drain_grace_s=2.0
+        )
         # The first silent call is a watch, which may last for its own time and 2 s more.
         silent_s = watch.began_s[2] - 1.02 if failing_s is UNTIL_TIMEOUT else 0.0
         # Discovery that rejects a call only after 2 s is reachable from the end of its last rejection on.
@@ -121,7 +123,7 @@
             raise result
         return result
 
-    discovery = Discovery((HOST, 9), print, FIRST_INDEX, **options)
+    discovery = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
     discovery._call = call
     with monkeypatch.context() as patch:
         patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
@@ -134,7 +136,7 @@
 async def test_broken_watch_of_pushed_lists_reopens_within_the_grace_period(fleet, grace_s, monkeypatch):
     for seed in range(fleet):
         targets, pauses_s = await broken_watch(
-            monkeypatch, fleet=fleet, seed=seed, pushed=True, grace_s=grace_s
+            monkeypatch, fleet_size=fleet, seed=seed, is_pushed=True, drain_grace_s=grace_s
         )
         assert targets[1] == WATCH_TARGET.format(41)
         assert len(pauses_s) == 12 and pauses_s[0] < 0.05
@@ -143,20 +145,20 @@
 
 
 def test_refusal_shows_that_discovery_is_shared():
-    pace = CallPace(40, random.Random(1), alone=True)
-    longest_s = max(pace.after_failure_s() for _ in range(20))
-    assert (longest_s, pace.watch_ms()) == (pytest.approx(0.5, abs=0.25), 5000)
+    pace = DiscoveryBackoff(40, random.Random(1), is_only_caller=True)
+    longest_s = max(pace.next_delay_s() for _ in range(20))
+    assert (longest_s, pace.watch_timeout_ms()) == (pytest.approx(0.5, abs=0.25), 5000)
     pace.on_overload()
-    longest_s = max(pace.after_failure_s() for _ in range(20))
-    assert longest_s > 3 and pace.watch_ms() == 40_000
+    longest_s = max(pace.next_delay_s() for _ in range(20))
+    assert longest_s > 3 and pace.watch_timeout_ms() == 40_000
 
 
 def test_first_retry_after_a_start_comes_sooner():
     """A gateway that starts may have an old list."""
-    started = [CallPace(14, random.Random(seed)) for seed in range(40)]
-    settled = [CallPace(14, random.Random(seed)) for seed in range(40)]
+    started = [DiscoveryBackoff(14, random.Random(seed)) for seed in range(40)]
+    settled = [DiscoveryBackoff(14, random.Random(seed)) for seed in range(40)]
     for pace in settled:
-        pace.on_answer()
-    first_s = [pace.after_failure_s() for pace in started]
-    later_s = [pace.after_failure_s() for pace in settled]
+        pace.on_success()
+    first_s = [pace.next_delay_s() for pace in started]
+    later_s = [pace.next_delay_s() for pace in settled]
     assert sum(first_s) < 0.7 * sum(later_s) and max(first_s) < 2.3 and max(later_s) <= 3.5
--- a/tests/network/discovery/test_drain_memory.py
+++ b/tests/network/discovery/test_drain_memory.py
@@ -23,7 +23,7 @@
     writer.write(json_response(endpoint_list(*change, index=42, snapshot=False)))
     await received_lists.get()
     async with FakeDiscovery() as new:
-        discovery.move((HOST, new.port))
+        discovery.set_address((HOST, new.port))
         _, writer = await new.next_call()
         old = [
             endpoint_entry("w0", 5001),
--- a/tests/network/discovery/test_watch.py
+++ b/tests/network/discovery/test_watch.py
@@ -12,9 +12,9 @@
 
 async def test_snapshot_is_followed_by_a_watch_from_its_version(discovery_service, received_lists, discovery):
     target, writer = await discovery_service.next_call()
-    assert target == "/discovery/hosts" and not discovery.listed.is_set()
+    assert target == "/discovery/hosts" and not discovery.list_received.is_set()
     writer.write(json_response(endpoint_list(endpoint_entry("w1", 5001), index=41)))
-    assert (await received_lists.get()).is_snapshot and discovery.listed.is_set()
+    assert (await received_lists.get()).is_snapshot and discovery.list_received.is_set()
     target, writer = await discovery_service.next_call()
     assert target == WATCH_TARGET.format(41)
     writer.write(json_response(endpoint_list(endpoint_entry("w1", 5001, "gone"), index=43, snapshot=False)))
@@ -82,7 +82,7 @@
     target, writer = await discovery_service.next_call()
     assert target == "/discovery/hosts?since=41&timeout_ms=1"
     writer.write(json_response(endpoint_list(index=41, snapshot=False)))
-    await discovery.listed.wait()
+    await discovery.list_received.wait()
 
 
 @pytest.mark.parametrize("reply", [b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", None])
@@ -114,9 +114,9 @@
     await received_lists.get()
     assert (await discovery_service.next_call()).target == WATCH_TARGET.format(41)
     async with FakeDiscovery() as silent, FakeDiscovery() as new:
-        discovery.move((HOST, silent.port))
+        discovery.set_address((HOST, silent.port))
         await silent.next_call()
-        discovery.move((HOST, new.port))
+        discovery.set_address((HOST, new.port))
         target, writer = await new.next_call()
         assert target == "/discovery/hosts"
         writer.write(json_response(endpoint_list(endpoint_entry("w9", 5009), index=3)))
@@ -126,7 +126,7 @@
 
 
 async def test_internal_error_restarts_the_watch(monkeypatch, discovery_service, received_lists, discovery):
-    monkeypatch.setattr("gateway.network.discovery.watch.MAX_WAIT_S", 0.0)
+    monkeypatch.setattr("gateway.network.discovery.watch.RESTART_DELAY_S", 0.0)
     discovery._on_list = lambda _received: 1 / 0
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41)))
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -80,13 +80,13 @@
     writer.transport.pause_reading()
     (connection,) = gateway.connections.all
     (attempt,) = gateway.attempts.values()
-    await wait_until(lambda: attempt.connection and attempt.connection.blocked and connection.held_ms)
+    await wait_until(lambda: attempt.connection and attempt.connection.writer.blocked and connection.held_ms)
     assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
     gateway.connections.sweep(gateway.clock.now() + 60_000, False)
     assert not connection.ending  # the endpoint causes the delay
     gateway.upstreams._sweep()
-    assert gateway.attempts and attempt.connection.waits
-    monkeypatch.setattr(upstream_connection, "UPLOAD_STALL_MS", -1.0)
+    assert gateway.attempts and attempt.connection._buffered_bytes
+    monkeypatch.setattr(upstream_connection, "UPLOAD_STALL_TIMEOUT_MS", -1.0)
     gateway.upstreams._sweep()
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
     assert (await client.next_response()).status == 502  # from the scripted controller
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -104,7 +104,7 @@
     release.set()
     outcome = await controller.next_event(AttemptEnded)
     assert (outcome.result, outcome.final) == (AttemptResult.NOT_SENT, True)
-    while gateway.upstreams._connections > len(gateway.upstreams._known["w1"].idle):
+    while gateway.upstreams._connections > len(gateway.upstreams.registry.endpoints["w1"].idle):
         await asyncio.sleep(0)
     assert endpoint.requests.empty() and not gateway.attempts
 
--- a/tests/network/upstream/test_endpoint_updates.py
+++ b/tests/network/upstream/test_endpoint_updates.py
@@ -19,7 +19,9 @@
         ("w2", EndpointState.READY),
         ("w1", EndpointState.REMOVED),
     ]
-    assert (await endpoint.next_request()).is_disconnect and list(gateway.upstreams._known) == ["w2"]
+    assert (await endpoint.next_request()).is_disconnect and list(gateway.upstreams.registry.endpoints) == [
+        "w2"
+    ]
     assert (await client.send(http_request()).next_response()).status == 502  # the controller names w1
 
 
--- a/tests/network/upstream/test_pool.py
+++ b/tests/network/upstream/test_pool.py
@@ -11,11 +11,11 @@
 from support.scripted_controller import ScriptedController
 
 from gateway.interface.events import AttemptEnded, AttemptResult
-from gateway.network.upstream.connection import REUSE_DELAY_MS
+from gateway.network.upstream.endpoint import REUSE_DELAY_MS
 
 
 async def test_idle_connections_are_reused(monkeypatch, endpoint, client):
-    monkeypatch.setattr("gateway.network.upstream.connection.REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr("gateway.network.upstream.endpoint.REUSE_DELAY_MS", 0.0)
     for number in range(5):
         client.send(http_request(f"{number:016x}"))
         _, writer = await endpoint.next_request()
@@ -62,11 +62,11 @@
 async def test_unread_bytes_on_an_idle_connection_are_not_the_next_response(endpoint, gateway, client):
     writer = await complete_request(endpoint, client)
     upstreams = gateway.upstreams
-    (connection,) = upstreams._known["w1"].idle
+    (connection,) = upstreams.registry.endpoints["w1"].idle
     connection.idle_since_ms -= REUSE_DELAY_MS
     connection.transport.pause_reading()  # as if the event loop had not read them
     writer.write(http_response(body=b"twice"))
-    while connection.is_quiet():
+    while not connection.has_unread_input():
         await asyncio.sleep(0)
     client.send(http_request())
     ended, again = await endpoint.next_request(), await endpoint.next_request()
@@ -78,10 +78,10 @@
 async def test_connection_is_reused_only_after_the_reuse_delay(endpoint, gateway, client):
     await complete_request(endpoint, client)
     upstreams = gateway.upstreams
-    (connection,) = upstreams._known["w1"].idle
+    (connection,) = upstreams.registry.endpoints["w1"].idle
     since = connection.idle_since_ms
-    assert upstreams._kept(connection.upstream, since + 9.9) is None
-    assert upstreams._kept(connection.upstream, since + 10.1) is connection
+    assert connection.endpoint.take_idle(since + 9.9) is None
+    assert connection.endpoint.take_idle(since + 10.1) is connection
 
 
 async def test_late_duplicate_response_is_not_the_next_response(endpoint, gateway, client):
@@ -124,7 +124,7 @@
 async def test_connections_to_one_endpoint_are_limited(
     monkeypatch, endpoint, controller, gateway, running_gateway, client
 ):
-    monkeypatch.setattr("gateway.network.upstream.connection.MAX_PER_UPSTREAM", 1)
+    monkeypatch.setattr("gateway.network.upstream.endpoint.MAX_CONNECTIONS_PER_ENDPOINT", 1)
     client.send(http_request())
     await endpoint.next_request()
     other = await running_gateway.connect()
--- a/tests/support/simulated_watch.py
+++ b/tests/support/simulated_watch.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from gateway.config import EndpointList
-from gateway.network.discovery.watch import Discovery
+from gateway.network.discovery.watch import EndpointWatch
 from support.addresses import HOST
 
 FIRST_INDEX = 41  # of the configured list
@@ -54,7 +54,7 @@
 
     async def run(self, monkeypatch, **options):
         """Run the watch to its end."""
-        discovery = Discovery((HOST, 9), print, FIRST_INDEX, **options)
+        discovery = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
         discovery._call = self.call
         with monkeypatch.context() as patch:
             patch.setattr("gateway.network.discovery.watch.asyncio.sleep", self.sleep)
@@ -64,7 +64,7 @@
 
 
 def simulate_watch(monkeypatch, respond, **options):
-    """Run a watch with these options of `Discovery`, and return it when it has ended."""
+    """Run a watch with these options of `EndpointWatch`, and return it when it has ended."""
     watch = SimulatedWatch(respond)
     asyncio.run(watch.run(monkeypatch, **options))
     return watch
