--- a/gateway/network/upstream/response_reader.py
+++ b/gateway/network/upstream/response_reader.py
@@ -67,7 +67,7 @@
     """What a reader is reading; see ResponseReader for the transitions."""
 
     HEAD = auto()  # the head of an interim response or of the final one
-    INTERIM = auto()  # the empty remainder of an interim response
+    INTERIM = auto()  # what follows the head of an interim response
     BODY = auto()  # a body whose end the framing states
     BODY_UNTIL_EOF = auto()  # a body that ends with the connection
     COMPLETE = auto()
@@ -100,8 +100,8 @@
     COMPLETE        bytes other than empty lines              UNEXPECTED_DATA  UnexpectedData
     before the end  a violation of HTTP's syntax or a limit   MALFORMED        MalformedResponse
 
-    A response without a body passes through BODY as well; an interim response has no body. An invalid
-    Content-Length and an exceeded limit are reported after the other events of the same input.
+    A response without a body passes through BODY as well. The body of an interim response is ignored. An
+    invalid Content-Length and an exceeded limit are reported after the other events of the same input.
     """
 
     __slots__ = (
@@ -227,13 +227,14 @@
             )
 
     def on_body(self, data: bytes) -> None:
-        """Report the next bytes of the body."""
+        """Report the next bytes of a final response's body; those of an interim response only count."""
         if self._violation is not None or self._has_ended():
             return
         self._body_size += len(data)
         if self._body_size > MAX_BODY_BYTES:
             self._violation = MalformedReason.BODY_TOO_LARGE
-        self._events.append(BodyPart(data))
+        if self.state is not _INTERIM:
+            self._events.append(BodyPart(data))
 
     def on_message_complete(self) -> None:
         """Report the end of a final response, or continue behind an interim one."""
--- a/tests/network/upstream/test_response_reader.py
+++ b/tests/network/upstream/test_response_reader.py
@@ -25,6 +25,8 @@
 SMALL_EVENTS = [ResponseHead(200, 4), BodyPart(b"body"), ResponseEnd(keep_alive=True)]
 INTERIM = b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\nX-Load: {}\r\nContent-Type: a/b\r\n\r\n"
 
+INTERIM_WITH_BODY = b"HTTP/1.1 199 X\r\nContent-Length: 4\r\n\r\nnone"
+
 
 def read(*inputs):
     """Return the events of these inputs, and the reader."""
@@ -91,6 +93,9 @@
         (b"HTTP/1.1 103 Early Hints\r\nContent-Length: 4\r\n\r\n", [], ReaderState.HEAD),
         (b"HTTP/1.1 103 Early Hints\r\nTransfer-Encoding: chunked\r\n\r\n", [], ReaderState.HEAD),
         (INTERIM + INTERIM + SMALL, SMALL_EVENTS, ReaderState.COMPLETE),
+        (b"HTTP/1.1 199 X\r\nContent-Length: 4\r\n\r\nbo", [], ReaderState.INTERIM),
+        (INTERIM_WITH_BODY, [], ReaderState.HEAD),
+        (INTERIM_WITH_BODY + SMALL, SMALL_EVENTS, ReaderState.COMPLETE),
         (SMALL + b"\r\n\r\n", SMALL_EVENTS, ReaderState.COMPLETE),
         (SMALL + SMALL, [*SMALL_EVENTS, UnexpectedData()], ReaderState.UNEXPECTED_DATA),
         (SMALL + SMALL + SMALL, [*SMALL_EVENTS, UnexpectedData()], ReaderState.UNEXPECTED_DATA),
@@ -177,6 +182,13 @@
     assert reader.feed(b"9")[-1] == malformed(MalformedReason.BODY_TOO_LARGE)
 
 
+def test_interim_body_over_the_limit_is_malformed(monkeypatch):
+    monkeypatch.setattr(response_reader, "MAX_BODY_BYTES", 8)
+    head = b"HTTP/1.1 199 X\r\nTransfer-Encoding: chunked\r\n\r\n"
+    events, _ = read(head, b"8\r\n12345678\r\n", b"1\r\n9\r\n")
+    assert events == [malformed(MalformedReason.BODY_TOO_LARGE)]
+
+
 def test_heads_of_interim_responses_share_one_limit():
     reader = ResponseReader()
     events = list(
@@ -276,7 +288,9 @@
 @st.composite
 def streams(draw):
     """What an endpoint may send: interim responses, a response, and bytes behind it."""
-    interim = draw(st.lists(st.sampled_from([INTERIM, b"HTTP/1.1 100 Continue\r\n\r\n"]), max_size=2))
+    interim = draw(
+        st.lists(st.sampled_from([INTERIM, INTERIM_WITH_BODY, b"HTTP/1.1 100 Continue\r\n\r\n"]), max_size=2)
+    )
     behind = draw(st.one_of(st.just(b""), st.binary(max_size=10), framed_responses()))
     return b"".join(interim) + draw(framed_responses()) + behind
 
