--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,7 @@
 """Settings of the test run, and fixtures that several folders use."""
 
+import asyncio
+import functools
 import inspect
 import json
 
@@ -16,17 +18,27 @@
 ASYNC_TEST_TIMEOUT_S = 30.0  # a test on the event loop takes longer only if it hangs
 
 
-@pytest.fixture(scope="session")
-def event_loop_policy():
+def pytest_asyncio_loop_factories():
     """Run async tests on the event loop that the gateway uses."""
-    return uvloop.EventLoopPolicy()
+    return {"uvloop": uvloop.new_event_loop}
+
+
+def with_timeout(test):
+    """Return the async test, cancelled where it takes longer than the timeout."""
+
+    @functools.wraps(test)
+    async def run(**arguments):
+        async with asyncio.timeout(ASYNC_TEST_TIMEOUT_S):
+            await test(**arguments)
+
+    return run
 
 
 def pytest_collection_modifyitems(items):
     """Give each async test a timeout."""
     for item in items:
-        if inspect.iscoroutinefunction(getattr(item, "function", None)):
-            item.add_marker(pytest.mark.timeout(ASYNC_TEST_TIMEOUT_S, func_only=True))
+        if inspect.iscoroutinefunction(getattr(item, "obj", None)):
+            item.obj = with_timeout(item.obj)
 
 
 @pytest_asyncio.fixture
