--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -21,29 +21,27 @@
 
 
 async def test_large_request_not_written_completely_ends_as_connect_failed():
-    started = asyncio.Event()
+    accepted = asyncio.Queue()
 
-    async def accept_without_reading(reader, writer):
+    async def accept_without_reading(_reader, writer):
         writer.transport.pause_reading()
-        started.writer = writer
-        started.set()
+        accepted.put_nowait(writer)
 
-    loop = asyncio.get_running_loop()
     server = await asyncio.start_server(accept_without_reading, HOST, 0, limit=1)
-    async with RunningGateway(
-        ScriptedController(), known=[endpoint_entry("w1", server.sockets[0].getsockname()[1])]
-    ) as running_gateway:
+    controller = ScriptedController()
+    known = [endpoint_entry("w1", server.sockets[0].getsockname()[1])]
+    async with RunningGateway(controller, known=known) as running_gateway:
         client = await running_gateway.connect()
         client.send(http_request(path="/debit", body=bytes(60_000)))
-        await started.wait()
+        writer = await accepted.get()
         while not running_gateway.gateway.attempts:
-            await running_gateway.controller.event_received.wait()
+            await controller.event_received.wait()
         (attempt,) = running_gateway.gateway.attempts.values()
         while attempt.connection is None:
             await asyncio.sleep(0)
         attempt.connection.pause_writing()  # as the transport does while bytes are unwritten
-        loop.call_soon(started.writer.transport.abort)
-        outcome = await running_gateway.controller.next_event(AttemptEnded)
+        asyncio.get_running_loop().call_soon(writer.transport.abort)
+        outcome = await controller.next_event(AttemptEnded)
         assert outcome.result is AttemptResult.CONNECT_FAILED
     server.close()
 
--- a/tests/network/upstream/test_pool.py
+++ b/tests/network/upstream/test_pool.py
@@ -5,7 +5,7 @@
 import pytest
 from support.configurations import endpoint_entry
 from support.fake_endpoint import FakeEndpoint
-from support.gateway_steps import complete_request
+from support.gateway_steps import complete_request, connect_endpoints_by
 from support.http_messages import http_request, http_response
 from support.running_gateway import RunningGateway
 from support.scripted_controller import ScriptedController
@@ -40,23 +40,14 @@
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
 
 
-async def test_connection_attempt_is_abandoned_after_its_timeout(monkeypatch):
-    loop = asyncio.get_running_loop()
-    async with RunningGateway(ScriptedController(), known=[endpoint_entry("w1", 9)]) as running_gateway:
+async def test_connection_attempt_is_abandoned_after_its_timeout(controller, gateway, client):
+    async def never_connect(*_):
+        await asyncio.get_running_loop().create_future()
 
-        async def never(*_):
-            await loop.create_future()
-
-        running_gateway.gateway.upstreams._loop = type(
-            "Loop",
-            (),
-            {"create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)},
-        )
-        client = await running_gateway.connect()
-        assert (await client.send(http_request()).next_response()).status == 502
-        outcome = await running_gateway.controller.next_event(AttemptEnded)
-        assert outcome.result is AttemptResult.CONNECT_FAILED
-        assert running_gateway.gateway.upstreams._connections == 0
+    connect_endpoints_by(gateway, never_connect)
+    assert (await client.send(http_request()).next_response()).status == 502
+    assert (await controller.next_event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
+    assert gateway.upstreams._connections == 0
 
 
 async def test_unread_bytes_on_an_idle_connection_are_not_the_next_response(endpoint, gateway, client):
--- a/tests/support/gateway_steps.py
+++ b/tests/support/gateway_steps.py
@@ -1,6 +1,7 @@
 """Steps of tests with a running gateway."""
 
 import asyncio
+import types
 
 from support.http_messages import http_request, http_response
 
@@ -14,6 +15,14 @@
     return writer
 
 
+def connect_endpoints_by(gateway, create_connection):
+    """Let the gateway open its connections to endpoints by this function in place of the event loop's."""
+    loop = asyncio.get_running_loop()
+    gateway.upstreams._loop = types.SimpleNamespace(
+        create_task=loop.create_task, call_soon=loop.call_soon, create_connection=create_connection
+    )
+
+
 def hold_connections(gateway):
     """Hold further connections to endpoints back.
 
@@ -28,15 +37,7 @@
         await release.wait()
         return await loop.create_connection(factory, host, port)
 
-    gateway.upstreams._loop = type(
-        "Loop",
-        (),
-        {
-            "create_task": staticmethod(loop.create_task),
-            "create_connection": staticmethod(connect_later),
-            "call_soon": staticmethod(loop.call_soon),
-        },
-    )
+    connect_endpoints_by(gateway, connect_later)
     return due, release
 
 
