--- a/tests/support/simulated_watch.py
+++ b/tests/support/simulated_watch.py
@@ -53,7 +53,6 @@
         return outcome.result
 
     async def run(self, monkeypatch, **options):
-        """Run the watch to its end."""
         discovery = Discovery((HOST, 9), print, FIRST_INDEX, **options)
         discovery._call = self.call
         with monkeypatch.context() as patch:
