--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timer queue of the decision package: one heap, from which the controller pops what has expired."""
+"""The timer queue of the decision package: one heap, from which the controller pops expired timers."""
 
 from __future__ import annotations
 
@@ -43,13 +43,8 @@
     subject: int = NO_SUBJECT
 
 
-class _HeapEntry(NamedTuple):
-    """A scheduled timer, in the order in which the heap sorts timers."""
-
-    at_ms: float
-    sequence_number: int
-    kind: TimerKind
-    subject: int
+# A scheduled timer: its time, its sequence number, its kind and its subject. The heap sorts in this order.
+_HeapEntry = tuple[float, int, TimerKind, int]
 
 
 class TimerQueue:
@@ -68,19 +63,19 @@
     @property
     def first_at_ms(self) -> float:
         """When the first timer expires."""
-        return self._heap[0].at_ms
+        return self._heap[0][0]
 
     def schedule(self, at_ms: float, kind: TimerKind, subject: int = NO_SUBJECT) -> None:
         """Schedule a timer. Timers cannot be cancelled: the handler checks whether one still matters."""
         self._scheduled += 1
-        heapq.heappush(self._heap, _HeapEntry(at_ms, self._scheduled, kind, subject))
+        heapq.heappush(self._heap, (at_ms, self._scheduled, kind, subject))
 
     def pop_expired(self, now_ms: float) -> Timer | None:
         """Remove and return the first timer that has expired at `now_ms`, if there is one."""
-        if not self._heap or self._heap[0].at_ms > now_ms + CLOCK_RESOLUTION_MS:
+        if not self._heap or self.first_at_ms > now_ms + CLOCK_RESOLUTION_MS:
             return None
-        expired = heapq.heappop(self._heap)
-        return Timer(expired.kind, expired.subject)
+        _, _, kind, subject = heapq.heappop(self._heap)
+        return Timer(kind, subject)
 
     def on_turn(self, now_ms: float) -> None:
         """Record that a turn has started; a requested wake-up whose time is reached is over."""
@@ -94,7 +89,7 @@
         withdrawn, and most timers concern requests that end before the timer expires.
         """
         self._drop_stale_head(open_requests)
-        first_at_ms = self._heap[0].at_ms
+        first_at_ms = self.first_at_ms
         if first_at_ms >= self._wake_up_at_ms:
             return None
         self._wake_up_at_ms = first_at_ms
@@ -114,4 +109,5 @@
 
 def _is_stale(entry: _HeapEntry, open_requests: Container[int]) -> bool:
     """Return whether a timer concerns a request that has ended."""
-    return entry.kind in REQUEST_TIMERS and entry.subject not in open_requests
+    _, _, kind, subject = entry
+    return kind in REQUEST_TIMERS and subject not in open_requests
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -19,11 +19,10 @@
 from gateway.simulator import fields
 from gateway.simulator.messages import (
     MAX_REPORTED_TEXT,
-    Line,
     Message,
     MessageName,
     WireError,
-    lines_of,
+    messages_of,
 )
 from gateway.simulator.translation import (
     endpoint_from,
@@ -37,7 +36,8 @@
 EXIT_CONTROLLER_ERROR = 1  # exit code where a controller raised an error
 EXIT_WIRE_ERROR = 2  # exit code where the input could not be read
 
-_BATCH_DONE = "FINISHED"  # line that ends the replies to a batch
+_REPLIES_END = "FINISHED"  # line that ends the replies to a batch
+_OUT_OF_PLACE_IN_BATCH = (MessageName.BATCH_START, MessageName.ENDPOINT)
 
 
 class ControllerError(GatewayError):
@@ -76,7 +76,7 @@
 
     def __init__(self, source: Iterator[str], sink: TextIO, error_output: TextIO) -> None:
         """Read lines from the source, write replies to the sink, and report ignored messages."""
-        self._lines = lines_of(source)
+        self._messages = messages_of(source)
         self._sink = sink
         self._error_output = error_output
         self._controllers: dict[int, Controller] = {}
@@ -84,31 +84,33 @@
 
     def run(self) -> None:
         """Serve batches until the input ends; raises WireError and ControllerError."""
-        for line in self._lines:
-            if line.name is MessageName.BATCH_START:
-                message = Message(line.name, line.texts)
+        for message in self._messages:
+            if message.name is MessageName.BATCH_START:
+                message.check_fields()
                 batch = Batch(message.read("clock", fields.number))
                 if not self._read_batch(batch):
                     return
                 self._reply(batch)
-            elif line.wire_name:
-                self._ignore(line)
+            elif message.wire_name:
+                self._ignore(message)
 
     def _read_batch(self, batch: Batch) -> bool:
         """Read the messages of one batch; return False where the input ends before the batch."""
         instance: int | None = None
-        for line in self._lines:
-            match line.name:
-                case MessageName.BATCH_END:
-                    return True
-                case None | MessageName.BATCH_START | MessageName.ENDPOINT:
-                    self._ignore(line)
-                case MessageName.SELECT_INSTANCE:
-                    instance = Message(line.name, line.texts).read("gatekeeper", fields.natural)
-                case _ if instance is None:
-                    raise WireError(f"{line.wire_name}: no SWITCH_TO before it")
-                case _:
-                    self._on_message(batch, instance, Message(line.name, line.texts))
+        for message in self._messages:
+            name = message.name
+            if name is MessageName.BATCH_END:
+                return True
+            if name is None or name in _OUT_OF_PLACE_IN_BATCH:
+                self._ignore(message)
+                continue
+            message.check_fields()
+            if name is MessageName.SELECT_INSTANCE:
+                instance = message.read("gatekeeper", fields.natural)
+            elif instance is None:
+                raise WireError(f"{message.wire_name}: no SWITCH_TO before it")
+            else:
+                self._on_message(batch, instance, message)
         return False
 
     def _on_message(self, batch: Batch, instance: int, message: Message) -> None:
@@ -131,7 +133,7 @@
         try:
             settings = settings_from(json.loads(message.read("info", str)))
         except SettingsError as error:
-            raise WireError(f"{message.name.value}: field {error}") from error
+            raise WireError(f"{message.wire_name}: field {error}") from error
         except ValueError as error:
             raise message.error("info", "no JSON") from error
         self._controllers[instance] = Controller(settings, seed)
@@ -143,10 +145,11 @@
         count = message.read("rows", fields.integer)
         endpoints: list[Endpoint] = []
         while len(endpoints) < count:
-            line = next(self._lines, None)
-            if line is None or line.name is not MessageName.ENDPOINT:
+            row = next(self._messages, None)
+            if row is None or row.name is not MessageName.ENDPOINT:
                 raise message.error("rows", f"{len(endpoints)} rows in place of {count}")
-            endpoints.append(endpoint_from(Message(line.name, line.texts)))
+            row.check_fields()
+            endpoints.append(endpoint_from(row))
         return update_from(mode, endpoints)
 
     def _reply(self, batch: Batch) -> None:
@@ -154,7 +157,7 @@
         lines: list[str] = []
         for instance, new_events in batch.events.items():
             lines += self._turn(instance, batch.now_ms, new_events)
-        lines.append(_BATCH_DONE)
+        lines.append(_REPLIES_END)
         self._sink.write("".join(f"{line}\n" for line in lines))
         self._sink.flush()
 
@@ -171,13 +174,13 @@
             raise ControllerError(instance, event_error) from event_error
         return [f"FROM\t{instance}", *map(line_for, actions)] if actions else []
 
-    def _ignore(self, line: Line) -> None:
+    def _ignore(self, message: Message) -> None:
         """Report an unknown message once; raise WireError for a known one, which is out of place."""
-        if line.name is not None:
-            raise WireError(f"{line.wire_name}: out of place")
-        if line.wire_name not in self._reported:
-            self._reported.add(line.wire_name)
-            name = line.wire_name[:MAX_REPORTED_TEXT]
+        if message.name is not None:
+            raise WireError(f"{message.wire_name}: out of place")
+        if message.wire_name not in self._reported:
+            self._reported.add(message.wire_name)
+            name = message.wire_name[:MAX_REPORTED_TEXT]
             print(f"simulator: message {name!r} is unknown and ignored", file=self._error_output)
 
 
@@ -192,7 +195,7 @@
         return EXIT_WIRE_ERROR
     except ControllerError as error:
         traceback.print_exception(error.__cause__, file=sys.stderr)
-        print(f"{error}\n{_BATCH_DONE}", flush=True)
+        print(f"{error}\n{_REPLIES_END}", flush=True)
         return EXIT_CONTROLLER_ERROR
     return EXIT_OK
 
--- a/gateway/simulator/messages.py
+++ b/gateway/simulator/messages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator
-from enum import Enum
+from enum import StrEnum
 from typing import TypeVar
 
 from gateway.errors import GatewayError
@@ -17,7 +17,7 @@
     """A line that cannot be read; the text names the message and the field."""
 
 
-class MessageName(Enum):
+class MessageName(StrEnum):
     """The messages from the simulator; the values are the names on the wire."""
 
     BATCH_START = "SYNC"
@@ -77,39 +77,35 @@
     MessageName.COUNTER_REPLIED: ("nowAt", "result", "rttMs", "counter"),
 }
 
+_POSITIONS = {
+    name: {field: position for position, field in enumerate(fields)} for name, fields in _FIELDS.items()
+}
+
 _LAST_FIELD_MAY_HAVE_TABS = (MessageName.START_INSTANCE,)
 
 
-class Line:
-    """One line from the simulator, split into the message's name and the texts of its fields."""
+class Message:
+    """One message: its name, and its fields, which are read by their names."""
 
-    __slots__ = ("name", "texts", "wire_name")
+    __slots__ = ("_positions", "_texts", "name", "wire_name")
 
     def __init__(self, line: str) -> None:
         """Split a line; `name` is None for an unknown message, `wire_name` is the name as received."""
-        self.wire_name, *self.texts = line.rstrip("\n").split("\t")
+        self.wire_name, *self._texts = line.rstrip("\n").split("\t")
         self.name = _NAMES.get(self.wire_name)
+        self._positions = {} if self.name is None else _POSITIONS[self.name]
 
-
-class Message:
-    """One message, whose fields are read by their names."""
-
-    __slots__ = ("_texts", "name")
-
-    def __init__(self, name: MessageName, texts: list[str]) -> None:
-        """Assign the texts to the message's fields; raises WireError where their number is wrong."""
-        fields = _FIELDS[name]
-        if name in _LAST_FIELD_MAY_HAVE_TABS and len(texts) > len(fields):
-            last = len(fields) - 1
-            texts = [*texts[:last], "\t".join(texts[last:])]
-        if len(texts) != len(fields):
-            raise WireError(f"{name.value}: {len(texts)} fields in place of {len(fields)}")
-        self.name = name
-        self._texts = dict(zip(fields, texts, strict=True))
+    def check_fields(self) -> None:
+        """Raise WireError where the number of fields is wrong; has to be called before `read`."""
+        count = len(self._positions)
+        if self.name in _LAST_FIELD_MAY_HAVE_TABS and len(self._texts) > count:
+            self._texts[count - 1 :] = ["\t".join(self._texts[count - 1 :])]
+        if len(self._texts) != count:
+            raise WireError(f"{self.wire_name}: {len(self._texts)} fields in place of {count}")
 
     def read(self, field: str, convert: Callable[[str], _Value]) -> _Value:
         """Return the value of a field; raises WireError where it is invalid."""
-        text = self._texts[field]
+        text = self._texts[self._positions[field]]
         try:
             return convert(text)
         except (ValueError, KeyError) as error:
@@ -117,9 +113,9 @@
 
     def error(self, field: str, problem: str) -> WireError:
         """Return an error that names the message and one of its fields."""
-        return WireError(f"{self.name.value}: field {field}: {problem}")
+        return WireError(f"{self.wire_name}: field {field}: {problem}")
 
 
-def lines_of(source: Iterator[str]) -> Iterator[Line]:
-    """Return the lines of a source."""
-    return map(Line, source)
+def messages_of(source: Iterator[str]) -> Iterator[Message]:
+    """Return the messages in the lines of a source."""
+    return map(Message, source)
--- a/gateway/simulator/translation.py
+++ b/gateway/simulator/translation.py
@@ -17,7 +17,7 @@
 
 def event_from(message: Message) -> events.Event:
     """Return the event of a message; raises WireError for an invalid field."""
-    return _EVENTS[message.name](message)
+    return _EVENTS[message.wire_name](message)
 
 
 def endpoint_from(message: Message) -> events.Endpoint:
@@ -135,7 +135,7 @@
     return events.CounterReplied(message.read("counter", fields.word))
 
 
-_EVENTS: dict[MessageName, Callable[[Message], events.Event]] = {
+_EVENTS: dict[str, Callable[[Message], events.Event]] = {
     MessageName.REQUEST_ARRIVED: _request_arrived,
     MessageName.RESPONSE_STARTED: _response_started,
     MessageName.ATTEMPT_ENDED: _attempt_ended,
--- a/tests/simulator/test_messages.py
+++ b/tests/simulator/test_messages.py
@@ -7,27 +7,28 @@
 from gateway.interface import actions, events
 from gateway.interface.events import AttemptResult, EndpointState
 from gateway.simulator import fields
-from gateway.simulator.messages import Line, Message, MessageName, WireError
+from gateway.simulator.messages import Message, MessageName, WireError
 from gateway.simulator.translation import endpoint_from, event_from, line_for, update_from, update_mode
 
 
 def message(text):
-    line = Line(text)
-    return Message(line.name, line.texts)
+    parsed = Message(text)
+    parsed.check_fields()
+    return parsed
 
 
 @pytest.mark.parametrize(
-    ("line", "name", "wire_name", "texts"),
+    ("line", "name", "wire_name"),
     [
-        ("KILL\n", MessageName.STOP_INSTANCE, "KILL", []),
-        ("SYNC\t12\n", MessageName.BATCH_START, "SYNC", ["12"]),
-        ("PARADE\t1\t2", None, "PARADE", ["1", "2"]),
-        ("\n", None, "", []),
+        ("KILL\n", MessageName.STOP_INSTANCE, "KILL"),
+        ("SYNC\t12\n", MessageName.BATCH_START, "SYNC"),
+        ("PARADE\t1\t2", None, "PARADE"),
+        ("\n", None, ""),
     ],
 )
-def test_line_is_split_into_name_and_fields(line, name, wire_name, texts):
-    split = Line(line)
-    assert (split.name, split.wire_name, split.texts) == (name, wire_name, texts)
+def test_line_starts_with_the_name_of_its_message(line, name, wire_name):
+    parsed = Message(line)
+    assert (parsed.name, parsed.wire_name) == (name, wire_name)
 
 
 @pytest.mark.parametrize("line", ["SYNC", "SYNC\t1\t2", "KILL\t1", "CONFIGURE\t1"])
