--- a/tests/network/discovery/conftest.py
+++ b/tests/network/discovery/conftest.py
@@ -11,22 +11,22 @@
 
 @pytest.fixture
 def received_lists():
-    """A queue of the endpoint lists that discovery has reported."""
+    """A queue of the endpoint lists that the watch has reported."""
     return asyncio.Queue()
 
 
 @pytest_asyncio.fixture
-async def start_discovery(received_lists):
-    """A function that starts the gateway's side of discovery, which stops after the test.
+async def start_watch(received_lists):
+    """A function that starts a watch at discovery, which stops after the test.
 
     It takes the discovery service's port and, where a list is configured, that list's index.
     """
     tasks = []
 
     def start(port, *index):
-        discovery = EndpointWatch((HOST, port), received_lists.put_nowait, *index)
-        tasks.append(asyncio.create_task(discovery.run()))
-        return discovery
+        watch = EndpointWatch((HOST, port), received_lists.put_nowait, *index)
+        tasks.append(asyncio.create_task(watch.run()))
+        return watch
 
     yield start
     for task in tasks:
@@ -35,6 +35,6 @@
 
 
 @pytest_asyncio.fixture
-async def discovery(start_discovery, discovery_service):
-    """The gateway's side of discovery, running without a configured list."""
-    return start_discovery(discovery_service.port)
+async def watch(start_watch, discovery_service):
+    """A running watch at discovery, without a configured list."""
+    return start_watch(discovery_service.port)
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -123,11 +123,11 @@
             raise result
         return result
 
-    discovery = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
-    discovery._call = call
+    watch = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
+    watch._call = call
     with monkeypatch.context() as patch:
         patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
-        await asyncio.gather(discovery._watch(), return_exceptions=True)
+        await asyncio.gather(watch._watch(), return_exceptions=True)
     return targets, pauses_s
 
 
--- a/tests/network/discovery/test_drain_memory.py
+++ b/tests/network/discovery/test_drain_memory.py
@@ -11,7 +11,7 @@
 
 
 async def test_older_list_from_another_address_does_not_revive_a_draining_endpoint(
-    discovery_service, received_lists, discovery
+    discovery_service, received_lists, watch
 ):
     """The service at a new address may be behind, and does not know of the change yet."""
     _, writer = await discovery_service.next_call()
@@ -23,7 +23,7 @@
     writer.write(json_response(endpoint_list(*change, index=42, snapshot=False)))
     await received_lists.get()
     async with FakeDiscovery() as new:
-        discovery.set_address((HOST, new.port))
+        watch.set_address((HOST, new.port))
         _, writer = await new.next_call()
         old = [
             endpoint_entry("w0", 5001),
@@ -32,8 +32,12 @@
             endpoint_entry("w4", 5005),
         ]
         writer.write(json_response(endpoint_list(*old, index=40)))
-        expected = {"w0": "draining", "w1": "ready", "w2": "ready", "w4": "ready"}
-        assert states(await received_lists.get()) == expected
+        assert states(await received_lists.get()) == {
+            "w0": "draining",
+            "w1": "ready",
+            "w2": "ready",
+            "w4": "ready",
+        }
         _, writer = await new.next_call()
         change = endpoint_list(endpoint_entry("w0", 5001), index=43, snapshot=False)
         writer.write(json_response(change))  # the endpoint is ready again
--- a/tests/network/discovery/test_watch.py
+++ b/tests/network/discovery/test_watch.py
@@ -10,11 +10,11 @@
 from support.http_messages import http_response, json_response
 
 
-async def test_snapshot_is_followed_by_a_watch_from_its_version(discovery_service, received_lists, discovery):
+async def test_snapshot_is_followed_by_a_watch_from_its_version(discovery_service, received_lists, watch):
     target, writer = await discovery_service.next_call()
-    assert target == "/discovery/hosts" and not discovery.list_received.is_set()
+    assert target == "/discovery/hosts" and not watch.list_received.is_set()
     writer.write(json_response(endpoint_list(endpoint_entry("w1", 5001), index=41)))
-    assert (await received_lists.get()).is_snapshot and discovery.list_received.is_set()
+    assert (await received_lists.get()).is_snapshot and watch.list_received.is_set()
     target, writer = await discovery_service.next_call()
     assert target == WATCH_TARGET.format(41)
     writer.write(json_response(endpoint_list(endpoint_entry("w1", 5001, "gone"), index=43, snapshot=False)))
@@ -23,9 +23,7 @@
     assert (await discovery_service.next_call()).target == WATCH_TARGET.format(43)
 
 
-async def test_watch_without_changes_continues_and_reports_nothing(
-    discovery_service, received_lists, discovery
-):
+async def test_watch_without_changes_continues_and_reports_nothing(discovery_service, received_lists, watch):
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41)))
     await received_lists.get()
@@ -49,7 +47,7 @@
         json_response(endpoint_list(index=40, snapshot=False)),
     ],
 )
-async def test_invalid_answer_is_followed_by_a_full_list(reply, discovery_service, received_lists, discovery):
+async def test_invalid_answer_is_followed_by_a_full_list(reply, discovery_service, received_lists, watch):
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41)))
     await received_lists.get()
@@ -62,9 +60,7 @@
 
 
 @pytest.mark.parametrize("reply", [http_response(503), http_response(429), None])
-async def test_refused_call_resumes_from_the_known_version(
-    reply, discovery_service, received_lists, discovery
-):
+async def test_refused_call_resumes_from_the_known_version(reply, discovery_service, received_lists, watch):
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41)))
     await received_lists.get()
@@ -77,17 +73,17 @@
     assert (await discovery_service.next_call()).target == WATCH_TARGET.format(44)
 
 
-async def test_configured_list_is_followed_by_its_changes(discovery_service, start_discovery):
-    discovery = start_discovery(discovery_service.port, 41)
+async def test_configured_list_is_followed_by_its_changes(discovery_service, start_watch):
+    watch = start_watch(discovery_service.port, 41)
     target, writer = await discovery_service.next_call()
     assert target == "/discovery/hosts?since=41&timeout_ms=1"
     writer.write(json_response(endpoint_list(index=41, snapshot=False)))
-    await discovery.list_received.wait()
+    await watch.list_received.wait()
 
 
 @pytest.mark.parametrize("reply", [b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", None])
-async def test_first_call_after_a_failure_is_short(reply, discovery_service, start_discovery):
-    start_discovery(discovery_service.port, 41)
+async def test_first_call_after_a_failure_is_short(reply, discovery_service, start_watch):
+    start_watch(discovery_service.port, 41)
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41, snapshot=False)))
     target, writer = await discovery_service.next_call()
@@ -96,7 +92,7 @@
     assert (await discovery_service.next_call()).target.endswith("timeout_ms=1")
 
 
-async def test_malformed_entry_is_skipped_and_the_list_is_used(discovery_service, received_lists, discovery):
+async def test_malformed_entry_is_skipped_and_the_list_is_used(discovery_service, received_lists, watch):
     _, writer = await discovery_service.next_call()
     odd = [{"name": "w"}, 3, endpoint_entry("w2", 0), endpoint_entry("w3", 5001, "asleep")]
     writer.write(json_response(endpoint_list(*odd, endpoint_entry("w1", 5001), index=41)))
@@ -106,7 +102,7 @@
 
 
 async def test_watch_moves_to_a_new_address_and_starts_with_a_full_list(
-    discovery_service, received_lists, discovery
+    discovery_service, received_lists, watch
 ):
     """The first move interrupts a waiting watch, the second a call without a response."""
     _, writer = await discovery_service.next_call()
@@ -114,9 +110,9 @@
     await received_lists.get()
     assert (await discovery_service.next_call()).target == WATCH_TARGET.format(41)
     async with FakeDiscovery() as silent, FakeDiscovery() as new:
-        discovery.set_address((HOST, silent.port))
+        watch.set_address((HOST, silent.port))
         await silent.next_call()
-        discovery.set_address((HOST, new.port))
+        watch.set_address((HOST, new.port))
         target, writer = await new.next_call()
         assert target == "/discovery/hosts"
         writer.write(json_response(endpoint_list(endpoint_entry("w9", 5009), index=3)))
@@ -125,13 +121,13 @@
         assert discovery_service.calls.empty() and silent.calls.empty()
 
 
-async def test_internal_error_restarts_the_watch(monkeypatch, discovery_service, received_lists, discovery):
+async def test_internal_error_restarts_the_watch(monkeypatch, discovery_service, received_lists, watch):
     monkeypatch.setattr("gateway.network.discovery.watch.RESTART_DELAY_S", 0.0)
-    discovery._on_list = lambda _received: 1 / 0
+    watch._on_list = lambda _received: 1 / 0
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41)))
     _, writer = await discovery_service.next_call()
-    discovery._on_list = received_lists.put_nowait
+    watch._on_list = received_lists.put_nowait
     writer.write(json_response(endpoint_list(index=42)))
     assert (await received_lists.get()).index == 42
 
@@ -142,9 +138,9 @@
         writer.write(json_response(value))
 
 
-async def test_silent_discovery_is_survived(monkeypatch, discovery_service, received_lists, start_discovery):
+async def test_silent_discovery_is_survived(monkeypatch, discovery_service, received_lists, start_watch):
     monkeypatch.setattr("gateway.network.discovery.watch.CALL_TIMEOUT_S", 0.05)
-    start_discovery(discovery_service.port)
+    start_watch(discovery_service.port)
     for _ in range(3):  # calls without a response
         assert (await discovery_service.next_call()).target == "/discovery/hosts"
     answering = asyncio.create_task(answer_each_call(discovery_service, endpoint_list(index=7)))
@@ -152,10 +148,10 @@
     answering.cancel()
 
 
-async def test_refusing_discovery_is_survived(port, received_lists, start_discovery):
-    discovery = start_discovery(port)
+async def test_refusing_discovery_is_survived(port, received_lists, start_watch):
+    watch = start_watch(port)
     failed = asyncio.Event()
-    call = discovery._call
+    call = watch._call
 
     async def observed_call(*args):
         try:
@@ -163,7 +159,7 @@
         finally:
             failed.set()
 
-    discovery._call = observed_call
+    watch._call = observed_call
     await failed.wait()
     async with FakeDiscovery(port) as discovery_service:
         _, writer = await discovery_service.next_call()
@@ -171,7 +167,7 @@
         assert (await received_lists.get()).index == 9
 
 
-async def test_indented_list_of_a_thousand_endpoints_is_read(discovery_service, received_lists, discovery):
+async def test_indented_list_of_a_thousand_endpoints_is_read(discovery_service, received_lists, watch):
     _, writer = await discovery_service.next_call()
     text = json.dumps(
         endpoint_list(*(endpoint_entry(f"s-{n:08x}", 5000 + n) for n in range(1024)), index=41), indent=4
--- a/tests/support/simulated_watch.py
+++ b/tests/support/simulated_watch.py
@@ -53,13 +53,14 @@
         return outcome.result
 
     async def run(self, monkeypatch, **options):
-        discovery = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
-        discovery._call = self.call
+        """Run the watch to its end."""
+        watch = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
+        watch._call = self.call
         with monkeypatch.context() as patch:
             patch.setattr("gateway.network.discovery.watch.asyncio.sleep", self.sleep)
             patch.setattr("gateway.network.discovery.watch.asyncio.get_running_loop", lambda: self)
             with contextlib.suppress(asyncio.CancelledError):
-                await discovery._watch()
+                await watch._watch()
 
 
 def simulate_watch(monkeypatch, respond, **options):
