--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,5 +1,6 @@
 """Tests of the adapter to the simulator's wire."""
 
+import io
 import json
 import pathlib
 import subprocess
@@ -8,10 +9,11 @@
 
 import pytest
 
-ROOT = pathlib.Path(__file__).parents[2]
-
+from gateway.policy.controller import Controller
+from gateway.simulator import adapter
 
-INFO = {
+ROOT = pathlib.Path(__file__).parents[2]
+SETTINGS = {
     "balancers": 2,
     "myNumber": 0,
     "locality": "a",
@@ -22,16 +24,16 @@
     "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True},
     "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
 }
-
-
 FLEET_LINES = "FLEET\tcached\t1\t1\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-\n"
 
 
-def start(info=INFO):
-    return f"SYNC\t1000\nSWITCH_TO\t0\nCONFIGURE\t7\t{json.dumps(info)}\n{FLEET_LINES}YOUR_TURN\n"
+def start_lines(settings=SETTINGS):
+    """Return the lines that configure one gateway with one endpoint."""
+    return f"SYNC\t1000\nSWITCH_TO\t0\nCONFIGURE\t7\t{json.dumps(settings)}\n{FLEET_LINES}YOUR_TURN\n"
 
 
-def sim(text):
+def simulate(text):
+    """Run the adapter as the deploy file says, with this input."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     assert command == "exec .venv/bin/python -m gateway.simulator"
     command = command.replace(".venv/bin/python", sys.executable)
@@ -39,13 +41,13 @@
 
 
 def test_request_is_sent_and_end_of_input_exits_0():
-    done = sim(
-        "SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
+    process = simulate(
+        "SYNC\t900\nYOUR_TURN\n" + start_lines() + "SYNC\t1004\nSWITCH_TO\t0\n"
         "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
         "SYNC\t1050\nSWITCH_TO\t0\nVERDICT\t5\t0\t0\tw:1\t40\tok\t1\t0\t-\nYOUR_TURN\n"
     )
-    assert done.returncode == 0 and done.stderr == ""
-    replies = done.stdout.split("FINISHED\n")
+    assert process.returncode == 0 and process.stderr == ""
+    replies = process.stdout.split("FINISHED\n")
     assert replies[0] == "" and "HAND_OFF\t5\tw:1\t" in replies[2] and len(replies) == 5
 
 
@@ -64,27 +66,28 @@
     ],
 )
 def test_unreadable_line_is_reported_and_ends_the_process(line, names):
-    done = sim(start() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
-    assert done.returncode != 0 and "Traceback" not in done.stderr
-    assert all(name in done.stderr for name in names)
+    process = simulate(start_lines() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
+    assert process.returncode != 0 and "Traceback" not in process.stderr
+    assert all(name in process.stderr for name in names)
 
 
 def test_unknown_message_is_reported_once_and_skipped():
-    done = sim(start() + "SYNC\t1004\nSWITCH_TO\t0\nPARADE\t1\nPARADE\t2\nYOUR_TURN\n")
-    assert done.returncode == 0 and done.stderr.count("PARADE") == 1
+    process = simulate(start_lines() + "SYNC\t1004\nSWITCH_TO\t0\nPARADE\t1\nPARADE\t2\nYOUR_TURN\n")
+    assert process.returncode == 0 and process.stderr.count("PARADE") == 1
 
 
-def changed(path, value):
-    info = json.loads(json.dumps(INFO))
-    *way, last = path
-    spot = info
-    for step in way:
-        spot = spot[step]
+def settings_with(path, value):
+    """Return the settings with the value at a path replaced, or removed by None."""
+    settings = json.loads(json.dumps(SETTINGS))
+    *parents, key = path
+    parent = settings
+    for step in parents:
+        parent = parent[step]
     if value is None:
-        del spot[last]
+        del parent[key]
     else:
-        spot[last] = value
-    return info
+        parent[key] = value
+    return settings
 
 
 @pytest.mark.parametrize(
@@ -100,40 +103,46 @@
     ],
 )
 def test_invalid_settings_are_reported_by_their_path(path, value, name):
-    done = sim(start(changed(path, value)))
-    assert done.returncode != 0 and name in done.stderr and "Traceback" not in done.stderr
+    process = simulate(start_lines(settings_with(path, value)))
+    assert process.returncode != 0 and name in process.stderr and "Traceback" not in process.stderr
 
 
-def test_controller_error_is_reported_on_the_wire(monkeypatch, capsys):
-    import io
+def test_controller_error_is_reported_on_the_wire(monkeypatch):
+    monkeypatch.setattr(Controller, "handle", lambda self, now, events: 1 / 0)
+    monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(start_lines().encode())))
+    output = io.TextIOWrapper(io.BytesIO())
+    monkeypatch.setattr(sys, "stdout", output)
+    assert adapter.main() == 1
+    output.seek(0)
+    assert output.read() == "FROM\t0\nBUG\tinstance 0: ZeroDivisionError: division by zero\nFINISHED\n"
+
+
+def lines_of_instances(*numbers):
+    """Return the lines of a day of some of the gateways."""
+    text = "SYNC\t1000\n"
+    for n in numbers:
+        settings = json.dumps(dict(SETTINGS, myNumber=n))
+        text += f"SWITCH_TO\t{n}\nCONFIGURE\t{n + 7}\t{settings}\n{FLEET_LINES}"
+    text += "YOUR_TURN\n"
+    for now in range(1004, 1600, 4):
+        text += f"SYNC\t{now}\n"
+        for n in numbers:
+            text += f"SWITCH_TO\t{n}\nFIRED\tagenda\n"
+            text += f"REQUEST\t{now * 2 + n}\t0\t2\t1\t2500\t0\tff{n}\tlook\tbasic\n"
+        text += "YOUR_TURN\n"
+    return text
 
-    from gateway.policy.controller import Controller
-    from gateway.simulator import adapter as simhost
 
-    monkeypatch.setattr(Controller, "handle", lambda self, now, events: 1 / 0)
-    monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(start().encode())))
-    out = io.TextIOWrapper(io.BytesIO())
-    monkeypatch.setattr(sys, "stdout", out)
-    assert simhost.main() == 1
-    out.seek(0)
-    assert out.read() == "FROM\t0\nBUG\tinstance 0: ZeroDivisionError: division by zero\nFINISHED\n"
+def replies_to_instances(*numbers):
+    """Return the replies of each turn, split by gateway."""
+    output = simulate(lines_of_instances(*numbers)).stdout
+    return [reply.split("FROM\t") for reply in output.split("FINISHED\n")]
 
 
 def test_instances_act_alike_in_one_process_and_in_two():
-    def batch(*numbers):
-        text = "SYNC\t1000\n"
-        for n in numbers:
-            text += f"SWITCH_TO\t{n}\nCONFIGURE\t{n + 7}\t{json.dumps(dict(INFO, myNumber=n))}\n{FLEET_LINES}"
-        text += "YOUR_TURN\n"
-        for now in range(1004, 1600, 4):
-            text += f"SYNC\t{now}\n"
-            for n in numbers:
-                text += f"SWITCH_TO\t{n}\nFIRED\tagenda\n"
-                text += f"REQUEST\t{now * 2 + n}\t0\t2\t1\t2500\t0\tff{n}\tlook\tbasic\n"
-            text += "YOUR_TURN\n"
-        return [reply.split("FROM\t") for reply in sim(text).stdout.split("FINISHED\n")]
-
-    both, first, second = batch(0, 1), batch(0), batch(1)
+    both = replies_to_instances(0, 1)
+    first = replies_to_instances(0)
+    second = replies_to_instances(1)
     assert sum(len(reply) for reply in both) > 100
     for together, one, two in zip(both, first, second, strict=True):
         assert together[1:] == one[1:] + two[1:]
