--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -76,7 +76,7 @@
         self._metrics = metrics
         self._load_reports = load_reports
         self._exchange: Exchange | None = None
-        self._last_progress_ms = 0.0  # the clock's time of the last progress of what is forwarded
+        self._last_progress_ms = 0.0  # clock time of a forwarded body's last progress
         self._buffered_bytes = 0  # size of the receiver's write buffer at the last check for a stall
 
     # -- callbacks of the transport
--- a/tests/network/upstream/test_request_writer.py
+++ b/tests/network/upstream/test_request_writer.py
@@ -12,7 +12,7 @@
 
 
 class FakeTransport:
-    """Keeps what is written; reports a full buffer during the write itself where that is asked for."""
+    """Keeps the written bytes; `on_write` is called during each write."""
 
     def __init__(self):
         self.data = b""
