--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -158,7 +158,7 @@
         self._is_failure_logged = False
 
     def _delay_after_failure_s(self, error: DiscoveryError, elapsed_s: float) -> float:
-        """Record a failed call that took `elapsed_s`, and return the delay in seconds before the next call."""
+        """Record a failed call that took `elapsed_s`; return the delay in seconds before the next call."""
         self._client.close()
         if not self._is_failure_logged:
             log.warning("discovery: call failed, retrying with backoff (logged once per outage): %s", error)
