--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -1,6 +1,6 @@
 """The program: `python -m gateway`, configured by the environment and the file that it names.
 
-Exit codes: 0 after a graceful shutdown, 1 where an address can't be used, 2 where the configuration can't.
+Exit codes: 0 after a graceful shutdown, 1 if an address cannot be used, 2 if the configuration is invalid.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 
 def configure_logging() -> None:
-    """Log to standard error, without ever waiting for whoever reads it."""
-    # No handler at all where standard error is closed: its number may be that of a client's socket by now.
+    """Log to standard error, without blocking when its reader stalls."""
+    # If standard error is closed, its descriptor's number may belong to a client's socket by now.
     handler = logging.NullHandler() if sys.stderr is None else NonBlockingHandler(sys.stderr.fileno())
     logging.basicConfig(
         handlers=[handler], level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
@@ -32,9 +32,10 @@
 
 
 def main() -> int:
-    """Run one gateway until it is told to end; return the exit code."""
+    """Run one gateway until a signal ends it; return the exit code."""
     configure_logging()
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is handled: what it asks for is read anyway
+    # Ignored until the process handles it, as the configuration is about to be read anyway.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ)
     except ConfigError as error:
--- a/gateway/config.py
+++ b/gateway/config.py
@@ -1,6 +1,6 @@
 """The configuration: the environment and the platform's JSON file, translated into typed settings.
 
-The keys are the pages' words; they are known here and in `gateway.interface.settings_reader` alone.
+The keys of the file are used here and in `gateway.interface.settings_reader` only.
 """
 
 from __future__ import annotations
@@ -9,7 +9,6 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from gateway.errors import ConfigError, SettingsError
 from gateway.interface.events import Endpoint, EndpointState
@@ -17,12 +16,12 @@
 from gateway.interface.settings_reader import JsonObject, settings_from
 
 Address = tuple[str, int]
-_STATES = {state.value: state for state in EndpointState}  # discovery's words
+_STATES = {state.value: state for state in EndpointState}
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One entry of discovery's list: the endpoint as the decisions know it, and where it listens."""
+    """One entry of the endpoint list: the endpoint, and the address at which it listens."""
 
     endpoint: Endpoint
     address: Address
@@ -30,39 +29,39 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """One answer of discovery: a snapshot of the whole list, or the entries that have changed."""
+    """A snapshot of the endpoint list, or the entries that have changed."""
 
-    index: int  # the list's version
+    index: int  # version of the list
     is_snapshot: bool
     entries: tuple[EndpointEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that a gateway is told at its start."""
+    """The configuration of one process."""
 
     name: str
     listen: Address
     discovery: Address
-    seed: int
-    sockets: int  # descriptors that it may use
+    seed: int  # of all random numbers
+    sockets: int  # limit of descriptors
     settings: Settings
     connect_timeout_ms: float
-    idle_ms: float  # after which endpoints close idle connections
-    known: EndpointList  # to begin with, until discovery answers
+    idle_ms: float  # idle timeout of endpoints' connections
+    known: EndpointList  # used until the first list from discovery
     peer_listen: Address | None
-    peers: tuple[Address, ...]
-    peers_all: Address | None  # reaches all peers at once
+    peers: tuple[Address, ...]  # all gateways of the fleet, by number
+    peers_all: Address | None  # datagrams to it reach all peers
     control: Address | None = None  # of the admin endpoint
-    private_folder: str = ""  # where a process that follows this one finds it; empty: none may
+    private_folder: str = ""  # of the socket file for a hot restart; empty: no hot restart
 
     @property
     def shares_addresses(self) -> bool:
-        """Whether a process may follow this one while it runs."""
+        """Whether a successor may bind the same addresses while this process runs."""
         return bool(self.private_folder)
 
 
-def address_from(text: Any, path: str) -> Address:
+def address_from(text: object, path: str) -> Address:
     """Return host and port of 'host:port'; raises SettingsError with the path."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -71,7 +70,7 @@
 
 
 def endpoint_entry_from(row: JsonObject) -> EndpointEntry:
-    """Return one entry of a list in discovery's form; raises SettingsError."""
+    """Return one entry of a list in discovery's format; raises SettingsError."""
     status = row.text("status")
     if status not in _STATES:
         raise SettingsError(f"{row.path}.status", f"{status!r} is no status")
@@ -87,11 +86,11 @@
 
 
 def endpoint_list_from(
-    value: Any, path: str, skipped: Callable[[SettingsError], None] | None = None
+    value: object, path: str, skipped: Callable[[SettingsError], None] | None = None
 ) -> EndpointList:
-    """Return a list in discovery's form; raises SettingsError where it can't be read.
+    """Return a list in discovery's format; raises SettingsError if it is malformed.
 
-    With `skipped`, an entry that can't be read is reported there and left out, which ends the endpoint's use.
+    With `skipped`, a malformed entry is reported there and left out, which ends the use of the endpoint.
     """
     top = JsonObject(value, path)
     entries = []
@@ -105,8 +104,8 @@
     return EndpointList(int(top.number("index")), top.flag("snapshot", False), tuple(entries))
 
 
-def config_from(value: Any, environment: Mapping[str, str]) -> Config:
-    """Return the configuration in an object of JSON; the environment stands in for what the object lacks.
+def config_from(value: object, environment: Mapping[str, str]) -> Config:
+    """Return the configuration in a JSON object; the environment provides what the object lacks.
 
     Raises SettingsError.
     """
@@ -123,7 +122,8 @@
     if peers and len(peers) != own.gateways:
         raise SettingsError("config.peers", f"{len(peers)} for {own.gateways} gateways")
     control = top.text("control", environment.get("BALANCER_CONTROL", ""))
-    peer_listen, peers_all = top.text("peer_listen", ""), top.text("peers_all", "")
+    peer_listen = top.text("peer_listen", "")
+    peers_all = top.text("peers_all", "")
     return Config(
         name=top.text("name", environment.get("BALANCER_NAME")),
         listen=address_from(top.text("listen", environment.get("BALANCER_LISTEN")), "config.listen"),
@@ -145,7 +145,10 @@
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """Return the configuration in the file that BALANCER_CONFIG names; raises ConfigError."""
+    """Return the configuration in the file that BALANCER_CONFIG names.
+
+    Raises ConfigError if the file cannot be read or is invalid.
+    """
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG is not set")
@@ -153,5 +156,5 @@
         return config_from(json.loads(Path(path).read_text(encoding="utf-8")), environment)
     except OSError as error:
         raise ConfigError(f"cannot read {path}: {error.strerror}") from error
-    except ValueError as error:  # no UTF-8, no JSON, or a SettingsError
+    except ValueError as error:  # invalid UTF-8, invalid JSON, or a SettingsError
         raise ConfigError(f"{path}: {error}") from error
--- a/gateway/errors.py
+++ b/gateway/errors.py
@@ -8,7 +8,7 @@
 
 
 class SettingsError(GatewayError, ValueError):
-    """A setting that cannot be right; the text names the setting and what is wrong with it."""
+    """An invalid setting; the text names the setting and what is wrong with it."""
 
     def __init__(self, path: str, problem: str) -> None:
         """`path` leads to the setting, as in `config.settings.classes[0].aimMs`."""
@@ -17,13 +17,17 @@
 
 
 class ConfigError(GatewayError):
-    """A configuration that can't be used; the text names what is wrong."""
+    """An unusable configuration; the text names what is wrong."""
 
 
 class BadRequestError(GatewayError, ValueError):
-    """A request that is turned away; the text names the part at fault."""
+    """A request that is rejected as malformed; the text names the part at fault."""
 
     def __init__(self, text: str, status: int = 400) -> None:
-        """`status` is the answer's status code."""
+        """`status` is the status code of the response."""
         super().__init__(text)
         self.status = status
+
+
+class HandoverError(GatewayError):
+    """A predecessor's state that cannot be taken over; the text names the cause."""
--- a/gateway/log_handler.py
+++ b/gateway/log_handler.py
@@ -1,4 +1,4 @@
-"""Logging to a descriptor that may not be read: a reader that stalls must not stop the gateway."""
+"""Logging to a descriptor whose reader may stall, without blocking the gateway."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 import os
 import select
 
-# Linux calls a pipe writable while a whole page of it is free, and a socket while most of its buffer is:
-# a write of this size then never blocks.
+# Maximum write size, bytes. Linux reports a pipe as writable while a page of it is free, and a socket while
+# most of its buffer is free, so a write of this size does not block.
 CHUNK_BYTES = 4096
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes each record as a line to a descriptor and drops the ones that it has no room for.
+    """Writes each record as a line to a descriptor, and drops records that do not fit.
 
-    The descriptor's own blocking mode is left alone, as other processes may share it. How many records were
-    dropped is written as soon as there is room again.
+    The descriptor's own blocking mode is not changed, as other processes may share it. The number of dropped
+    records is written as soon as the reader goes on.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -33,13 +33,16 @@
         except Exception:
             self.handleError(record)
             return
-        if self._dropped and self._write(f"{self._dropped} log records were dropped: nobody read them"):
+        if self._dropped and self._write_dropped():
             self._dropped = 0
         if self._dropped or not self._write(line):
             self._dropped += 1
 
+    def _write_dropped(self) -> bool:
+        return self._write(f"log: {self._dropped} records dropped, the reader of standard error was stalled")
+
     def _write(self, line: str) -> bool:
-        """Write one line; False where it did not fit, or nobody can read it any more."""
+        """Write one line; return False if it did not fit, or if the descriptor has no reader."""
         rest = memoryview(f"{line}\n".encode(errors="backslashreplace"))
         while rest:
             if not self._is_writable():
--- a/gateway/network/admin/endpoint.py
+++ b/gateway/network/admin/endpoint.py
@@ -1,139 +1,206 @@
-"""The admin endpoint: a second address, one call a connection, answered in the turn that makes it whole."""
+"""The admin endpoint: an HTTP server for operators at an address of its own, one request per connection."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import Protocol, cast
 
 import httptools
 
 from gateway.network.admin.metrics import CONTENT_TYPE
+from gateway.network.clock import Clock, Timers
 
-if TYPE_CHECKING:
-    from gateway.network.gateway import Gateway
+# Maximum number of connections: neither clients nor endpoints can use these descriptors.
+MAX_ADMIN_CONNECTIONS = 8
 
-MOST = 8  # connections: a reserve of descriptors that neither clients nor endpoints can take
-CALL_MS = 2000.0  # within so long a call must be whole; callers may hold a connection for 4 s without one
-LINGER_MS = 500.0  # what still comes after the answer is read for so long: a reset would erase the answer
-MAX_CALL = 16 * 1024
+# Request timeout, ms: bounds the time from the connection to the end of its request.
+REQUEST_TIMEOUT_MS = 2000.0
+
+# Linger timeout, ms: how long input is read and discarded after the response, as a reset would discard it.
+LINGER_TIMEOUT_MS = 500.0
+
+# Maximum request size, bytes.
+MAX_REQUEST_BYTES = 16 * 1024
+
+PLAIN_TEXT = b"text/plain"
 
 REASONS = {
-    200: b"OK",
-    400: b"Bad Request",
-    404: b"Not Found",
-    405: b"Method Not Allowed",
-    408: b"Request Timeout",
-    431: b"Request Header Fields Too Large",
-    503: b"Service Unavailable",
+    HTTPStatus.OK: b"OK",
+    HTTPStatus.BAD_REQUEST: b"Bad Request",
+    HTTPStatus.NOT_FOUND: b"Not Found",
+    HTTPStatus.METHOD_NOT_ALLOWED: b"Method Not Allowed",
+    HTTPStatus.REQUEST_TIMEOUT: b"Request Timeout",
+    HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE: b"Request Header Fields Too Large",
+    HTTPStatus.SERVICE_UNAVAILABLE: b"Service Unavailable",
 }
 
 
+class MonitoredGateway(Protocol):
+    """The gateway, as the admin endpoint needs it."""
+
+    loop: asyncio.AbstractEventLoop
+    clock: Clock
+    timers: Timers
+
+    @property
+    def ready(self) -> bool:
+        """Whether this process serves."""
+
+    def metrics_text(self) -> bytes:
+        """Return the metrics in Prometheus' text format."""
+
+
+@dataclass(frozen=True, slots=True)
+class AdminResponse:
+    """The response to one request."""
+
+    status: HTTPStatus
+    body: bytes = b""
+    content_type: bytes = PLAIN_TEXT
+
+    def encode(self) -> bytes:
+        """Return the bytes of the response."""
+        allow = b"Allow: GET\r\n" if self.status is HTTPStatus.METHOD_NOT_ALLOWED else b""
+        return (
+            b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\n%sContent-Length: %d\r\nConnection: close\r\n\r\n%s"
+        ) % (
+            self.status,
+            REASONS[self.status],
+            self.content_type,
+            allow,
+            len(self.body),
+            self.body,
+        )
+
+
 class AdminEndpoint:
-    """The calls that operators have, and the connections at the admin endpoint."""
+    """The paths that operators can request, and the connections of the admin endpoint."""
 
-    def __init__(self, gateway: Gateway) -> None:
+    def __init__(self, gateway: MonitoredGateway) -> None:
+        """Report on this gateway; nothing is opened yet."""
         self.gateway = gateway
-        self.callers: dict[AdminConnection, None] = {}  # the oldest first
-        self._calls = {"/_ready": self._ready, "/_vars": self._vars}
+        self.connections: dict[AdminConnection, None] = {}  # in the order of their arrival
+        self._paths = {"/_ready": self._ready, "/_vars": self._vars}
         self._server: asyncio.Server | None = None
 
     async def open(self, address: tuple[str, int] | None) -> None:
-        """Listen, where there is an address."""
+        """Listen at the address, if there is one; raises OSError if it cannot be used."""
         if address is not None:
             self._server = await self.gateway.loop.create_server(lambda: AdminConnection(self), *address)
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
-        for caller in list(self.callers):
-            caller.drop()
-
-    def answer(self, method: bytes, path: str) -> tuple[int, bytes, bytes]:
-        """Status, type and body of one call."""
-        call = self._calls.get(path)
-        if call is None:
-            return 404, b"text/plain", b"no such call\n"
+        for connection in list(self.connections):
+            connection.drop()
+
+    def respond(self, method: bytes, path: str) -> AdminResponse:
+        """Return the response to a request."""
+        handler = self._paths.get(path)
+        if handler is None:
+            return AdminResponse(HTTPStatus.NOT_FOUND, b"no such call\n")
         if method != b"GET":
-            return 405, b"text/plain", b"the call is a GET\n"
-        return call()
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, b"the call is a GET\n")
+        return handler()
 
-    def _ready(self) -> tuple[int, bytes, bytes]:
-        if self.gateway.ready:
-            return 200, b"text/plain", b"yes\n"
-        return 503, b"text/plain", b"no\n"
+    def on_connected(self, connection: AdminConnection) -> None:
+        """Add a connection; above the limit, close those that have their response first, then the oldest."""
+        while len(self.connections) >= MAX_ADMIN_CONNECTIONS:
+            answered = (one for one in self.connections if one.is_answered)
+            next(answered, next(iter(self.connections))).drop()
+        self.connections[connection] = None
 
-    def _vars(self) -> tuple[int, bytes, bytes]:
-        return 200, CONTENT_TYPE, self.gateway.metrics_text()
+    def on_disconnected(self, connection: AdminConnection) -> None:
+        """Remove a connection that has ended or is being closed."""
+        self.connections.pop(connection, None)
 
-    def came(self, caller: AdminConnection) -> None:
-        """Over the limit those that have their answer go first, then the oldest that never asked."""
-        while len(self.callers) >= MOST:
-            next((one for one in self.callers if one.answered), next(iter(self.callers))).drop()
-        self.callers[caller] = None
+    def _ready(self) -> AdminResponse:
+        if self.gateway.ready:
+            return AdminResponse(HTTPStatus.OK, b"yes\n")
+        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"no\n")
+
+    def _vars(self) -> AdminResponse:
+        return AdminResponse(HTTPStatus.OK, self.gateway.metrics_text(), CONTENT_TYPE)
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection at the admin endpoint."""
+    """One connection of the admin endpoint; it gets one response."""
 
-    def __init__(self, admin: AdminEndpoint) -> None:
-        self.admin = admin
-        self.transport: asyncio.Transport | None = None
-        self.parser: Any = httptools.HttpRequestParser(self)
-        self.url, self.size, self.answered = b"", 0, False
+    def __init__(self, endpoint: AdminEndpoint) -> None:
+        """Answer by this endpoint's paths."""
+        self.is_answered = False
+        self._endpoint = endpoint
+        self._transport: asyncio.Transport | None = None
+        self._parser = httptools.HttpRequestParser(self)
+        self._url = b""
+        self._received_bytes = 0
+
+    # -- the transport's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]
-        self.admin.came(self)
-        gateway = self.admin.gateway
-        gateway.timers.at(gateway.clock.now() + CALL_MS, lambda: self.reply(408))
+        """Enter the connection and start the request timeout."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._endpoint.on_connected(self)
+        gateway = self._endpoint.gateway
+        gateway.timers.at(
+            gateway.clock.now() + REQUEST_TIMEOUT_MS,
+            lambda: self._respond(AdminResponse(HTTPStatus.REQUEST_TIMEOUT)),
+        )
 
     def data_received(self, data: bytes) -> None:
-        if self.answered:
+        """Parse a part of the request; what follows the request is discarded."""
+        if self.is_answered:
             return
-        self.size += len(data)
+        self._received_bytes += len(data)
         try:
-            self.parser.feed_data(data)
+            self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.reply(400)
-        if self.size > MAX_CALL:
-            self.reply(431)
+            self._respond(AdminResponse(HTTPStatus.BAD_REQUEST))
+        if self._received_bytes > MAX_REQUEST_BYTES:
+            self._respond(AdminResponse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE))
+
+    def eof_received(self) -> None:
+        """Let the transport close: an incomplete request is not going to be completed."""
+
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Release the parser, which would keep this connection alive until a garbage collection."""
+        self._parser = None
+        self.is_answered = True
+        self._endpoint.on_disconnected(self)
+
+    # -- the parser's callbacks
 
     def on_url(self, url: bytes) -> None:
-        self.url += url
+        """Append a part of the target."""
+        self._url += url
 
     def on_message_complete(self) -> None:
+        """Respond to the request."""
         try:
-            path = httptools.parse_url(self.url).path or b""
+            path = httptools.parse_url(self._url).path or b""
         except httptools.HttpParserInvalidURLError:
-            self.reply(400)
+            self._respond(AdminResponse(HTTPStatus.BAD_REQUEST))
             return
-        self.reply(*self.admin.answer(self.parser.get_method(), path.decode("latin-1")))
-
-    def eof_received(self) -> None:
-        """The caller ends its sending: what it has not asked by now it never will."""
+        self._respond(self._endpoint.respond(self._parser.get_method(), path.decode("latin-1")))
 
-    def connection_lost(self, _problem: Exception | None) -> None:
-        self.parser = None  # it holds this connection: the two would wait for the collector
-        self.answered = True
-        self.admin.callers.pop(self, None)
+    # -- the response
 
-    def reply(self, status: int, kind: bytes = b"text/plain", body: bytes = b"") -> None:
-        """The one answer; what follows a call is not looked at."""
-        transport = self.transport
-        if self.answered or transport is None or transport.is_closing():
+    def drop(self) -> None:
+        """Close the connection at once."""
+        self._endpoint.on_disconnected(self)
+        if self._transport is not None:
+            self._transport.abort()
+
+    def _respond(self, response: AdminResponse) -> None:
+        """Write the response, unless there was one, and close the connection after the linger timeout."""
+        transport = self._transport
+        if self.is_answered or transport is None or transport.is_closing():
             return
-        self.answered = True
-        allow = b"Allow: GET\r\n" if status == 405 else b""
-        transport.write(
-            b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\n%sContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%s" % (status, REASONS[status], kind, allow, len(body), body)
-        )
+        self.is_answered = True
+        transport.write(response.encode())
         transport.write_eof()
-        gateway = self.admin.gateway
-        gateway.timers.at(gateway.clock.now() + LINGER_MS, self.drop)
-
-    def drop(self) -> None:
-        """Close at once."""
-        self.admin.callers.pop(self, None)
-        if self.transport is not None:
-            self.transport.abort()
+        gateway = self._endpoint.gateway
+        gateway.timers.at(gateway.clock.now() + LINGER_TIMEOUT_MS, self.drop)
--- a/gateway/network/admin/metrics.py
+++ b/gateway/network/admin/metrics.py
@@ -1,16 +1,19 @@
-"""The metrics of a gateway, in Prometheus' text form. Their names and texts are the operators'."""
+"""The metrics of a gateway in Prometheus' text format; their names and texts are the operators'."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from enum import Enum
 
+# Prefix of all names.
 PREFIX = "edge_balancer"
+
+# Content type of the text format.
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class FinalStatus(Enum):
-    """How a request ended."""
+    """How a request ended; the values are labels of a metric."""
 
     FULFILLED = "fulfilled"
     THROTTLED = "throttled"
@@ -18,19 +21,19 @@
 
 
 class Metrics:
-    """The counters, which start at 0 with the process. Gauges are read from the live tables when asked."""
+    """The counters, which begin at 0 with the process; gauges are passed in when the text is made."""
 
     def __init__(self, class_names: Iterable[str]) -> None:
-        """Count requests by these classes."""
+        """Count the requests of these classes."""
         self.operations = {(name, status): 0 for name in class_names for status in FinalStatus}
-        self.relayed = 0  # attempts written whole to endpoints
+        self.relayed = 0  # attempts written completely to endpoints
 
     def on_final_answer(self, class_name: str, status: FinalStatus) -> None:
-        """Count a request that has had its one final answer."""
+        """Count a request that has had its final answer."""
         self.operations[class_name, status] += 1
 
     def text(self, *, open_requests: int, registry_entries: int, out_of_rotation: int) -> bytes:
-        """Return all metrics, with the gauges as they are told."""
+        """Return all metrics, with these values of the gauges."""
         name = f"{PREFIX}_operations_total"
         lines = [
             f"# HELP {name} Requests answered: served, refused or failed.",
@@ -49,7 +52,7 @@
 
 
 def escape(label: str) -> str:
-    """Return a label's value as the text form wants it."""
+    """Return a label's value, escaped for the text format."""
     return label.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
--- /dev/null
+++ b/gateway/network/attempt_runner.py
@@ -0,0 +1,148 @@
+"""Carries out the controller's attempts and reports their results as events."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+from gateway.interface.actions import CancelAttempt, SendAttempt
+from gateway.interface.events import AttemptEnded, AttemptResult, ResponseStarted
+from gateway.network.admin.metrics import FinalStatus
+from gateway.network.attempt_table import AttemptTable
+from gateway.network.clock import Clock
+from gateway.network.controller_loop import EventSink
+from gateway.network.open_request import OpenRequest
+from gateway.network.request_table import RequestTable
+from gateway.network.upstream.connection import UpstreamAttempt, UpstreamConnection, UpstreamPool
+from gateway.network.upstream.response_sink import ResponseSink
+
+
+class AttemptRunner:
+    """Starts and cancels attempts; the first successful one of a request is its final answer."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        upstreams: UpstreamPool,
+        requests: RequestTable,
+        attempts: AttemptTable,
+        events: EventSink,
+    ) -> None:
+        """Send attempts of these requests by the pool, and report their results to `events`."""
+        self._clock = clock
+        self._upstreams = upstreams
+        self._requests = requests
+        self._attempts = attempts
+        self._events = events
+
+    def send(self, action: SendAttempt) -> None:
+        """Start an attempt, unless its request has ended or its client has disconnected."""
+        request = self._requests.open.get(action.id)
+        if request is None:
+            self._report_not_sent(action, 0)
+        elif request.client.is_disconnected():
+            self._requests.on_client_gone(request)
+            request.client.drop()
+            self._report_not_sent(action, request.attempts)
+        else:
+            self._start(request, action)
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """Cancel an attempt, if it is in flight."""
+        attempt = self._attempts.get(action.id, action.attempt)
+        if attempt is not None:
+            attempt.end(AttemptResult.CANCELLED)
+
+    def on_request_completed(self, request: OpenRequest, timeout_ms: float) -> None:
+        """Start the timeouts of a request's attempts, now that its last byte has been received."""
+        now_ms = self._clock.now()
+        for attempt in self._attempts.of_request(request):
+            attempt.started_ms = now_ms
+            self._upstreams.allow(attempt, timeout_ms)
+
+    def _start(self, request: OpenRequest, action: SendAttempt) -> None:
+        upload = request.upload
+        timeout_ms = action.timeout_ms if upload is None or upload.is_complete else request.wait_ms
+        attempt = UpstreamAttempt(
+            request.id,
+            request.attempts,
+            action.endpoint,
+            request.message(timeout_ms),
+            upload,
+            self._on_ended,
+            self._on_response_started,
+            action.send_by_ms,
+        )
+        request.attempts += 1
+        self._attempts.add(attempt)
+        self._upstreams.start(attempt, action.timeout_ms)
+
+    def _report_not_sent(self, action: SendAttempt, number: int) -> None:
+        self._events.enqueue(
+            AttemptEnded(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True)
+        )
+
+    def _on_response_started(
+        self,
+        attempt: UpstreamAttempt,
+        source: UpstreamConnection,
+        length: int | None,
+        content_type: bytes,
+    ) -> ResponseSink | None:
+        """Begin to forward a large response.
+
+        Returns the client, or None if the request has ended or another response is being forwarded.
+        """
+        request = self._requests.open.get(attempt.request_id)
+        if request is None or request.streaming_attempt is not None:
+            return None
+        request.streaming_attempt = attempt.number
+        attempt.answered_ms = self._clock.now()
+        # From now on the response ends by itself, or when no progress is made.
+        for timer in (request.guard, attempt.alarm):
+            if timer is not None:
+                timer.cancel()
+        request.client.start_response(source, length, content_type)
+        self._events.enqueue(ResponseStarted(request.id, attempt.number, attempt.endpoint_id))
+        return request.client
+
+    def _on_ended(
+        self,
+        attempt: UpstreamAttempt,
+        result: AttemptResult,
+        body: bytes,
+        content_type: bytes,
+        load: tuple[float, ...],
+    ) -> None:
+        """Give the final answer, if this attempt decides it, and report the result."""
+        self._attempts.remove(attempt)
+        request = self._requests.open.get(attempt.request_id)
+        is_final = request is None or self._finish_request(request, attempt, result, body, content_type)
+        # The latency of a response that is forwarded counts to its first bytes.
+        ended_ms = attempt.answered_ms or self._clock.now()
+        self._events.enqueue(
+            AttemptEnded(
+                attempt.request_id,
+                attempt.number,
+                attempt.endpoint_id,
+                ended_ms - attempt.started_ms,
+                result,
+                is_final,
+                load=load,
+            )
+        )
+
+    def _finish_request(
+        self,
+        request: OpenRequest,
+        attempt: UpstreamAttempt,
+        result: AttemptResult,
+        body: bytes,
+        content_type: bytes,
+    ) -> bool:
+        """Answer an open request if this attempt decides it; return whether it does."""
+        if request.streaming_attempt == attempt.number:
+            self._requests.finish_response(request, result is AttemptResult.OK)
+            return True
+        if request.streaming_attempt is None and result is AttemptResult.OK:
+            return self._requests.answer(request, FinalStatus.FULFILLED, HTTPStatus.OK, body, content_type)
+        return False
--- a/gateway/network/clients/request_handler.py
+++ b/gateway/network/clients/request_handler.py
@@ -31,8 +31,14 @@
 
     clock: Clock
     timers: Timers
-    ready: bool
-    draining: bool
+
+    @property
+    def ready(self) -> bool:
+        """Whether this process serves."""
+
+    @property
+    def draining(self) -> bool:
+        """Whether each connection closes after its response."""
 
     @property
     def connections(self) -> ConnectionTable:
--- a/gateway/network/clock.py
+++ b/gateway/network/clock.py
@@ -10,10 +10,10 @@
 
 
 class Clock:
-    """Unix time in milliseconds, read once; from then on it only advances, whatever is set on the machine."""
+    """Unix time in milliseconds; it never goes back, even if the machine's clock is set."""
 
     def __init__(self) -> None:
-        """Read the time."""
+        """Read the machine's clock, once."""
         self._base_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def now(self) -> float:
@@ -22,21 +22,24 @@
 
 
 class Timer:
-    """One call to make later, unless it is cancelled before."""
+    """One scheduled call, which can be cancelled."""
 
     __slots__ = ("call",)
 
     def __init__(self, call: Callable[[], None]) -> None:
-        """Make the call when the timer expires."""
+        """Schedule this call."""
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Make no call."""
+        """Cancel the call, if it has not been made."""
         self.call = None
 
 
 class Timers:
-    """All timers of the gateway on one timer of the loop: most never expire, and setting them is cheap."""
+    """All timers of the gateway, on one timer of the event loop.
+
+    Setting and cancelling a timer is cheap, as most timers are cancelled before they expire.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         """Begin with no timer."""
@@ -48,7 +51,7 @@
         self._armed_ms = math.inf
 
     def at(self, when_ms: float, call: Callable[[], None]) -> Timer:
-        """Make a call at that time of the clock or soon after, never before."""
+        """Schedule a call at that time of the clock or soon after, never before."""
         self._scheduled += 1
         timer = Timer(call)
         heapq.heappush(self._heap, (when_ms, self._scheduled, timer))
@@ -60,20 +63,20 @@
         if self._handle is not None:
             self._handle.cancel()
         self._armed_ms = when_ms
-        # The loop's timers count whole milliseconds from when its turn began: rounded up, none is early.
+        # The event loop counts in milliseconds from the start of its turn; rounded up, no timer is early.
         delay_ms = math.ceil(max(0.0, when_ms - self._clock.now()))
         self._handle = self._loop.call_later(delay_ms / 1000, self._expire)
 
     def _expire(self) -> None:
         self._handle = None
-        self._armed_ms = -math.inf  # no arming while the expired ones are called
+        self._armed_ms = -math.inf  # `at` does not arm while expired timers are called
         now_ms = self._clock.now()
         heap = self._heap
         try:
             while heap and heap[0][0] <= now_ms:
                 timer = heapq.heappop(heap)[2]
                 call = timer.call
-                timer.call = None  # what it calls may hold the timer in turn
+                timer.call = None  # breaks the reference cycle with a caller that holds the timer
                 if call is not None:
                     call()
         finally:
--- /dev/null
+++ b/gateway/network/controller_loop.py
@@ -0,0 +1,133 @@
+"""The turns of the controller: events in, decisions, actions out.
+
+All events of one turn of the event loop go to the controller in one call; its actions are dispatched to an
+`ActionHandler`, which has one method for each kind of action.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from gateway.interface.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    Fail,
+    Reject,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+    SubscribeEndpoints,
+)
+from gateway.interface.events import Event
+from gateway.network.clock import Clock
+from gateway.policy.controller import Controller
+
+ERROR_LOG_INTERVAL_MS = 10_000.0  # errors of the controller are logged at most once in this time, ms
+
+log = logging.getLogger(__name__)
+
+
+class EventSink(Protocol):
+    """Where the network code reports events for the controller."""
+
+    def enqueue(self, event: Event) -> None:
+        """Keep an event for the controller's next turn."""
+
+
+class ActionHandler(Protocol):
+    """Carries out the controller's actions."""
+
+    def send_attempt(self, action: SendAttempt) -> None:
+        """Start an attempt."""
+
+    def reject(self, action: Reject) -> None:
+        """Answer a request that was not executed, with advice when to retry."""
+
+    def fail(self, action: Fail) -> None:
+        """Answer a request that failed."""
+
+    def cancel_attempt(self, action: CancelAttempt) -> None:
+        """Cancel an attempt."""
+
+    def set_timer(self, action: SetTimer) -> None:
+        """Report a TimerFired event later."""
+
+    def send_gossip(self, action: SendGossip) -> None:
+        """Send a datagram."""
+
+    def check_health(self, action: CheckHealth) -> None:
+        """Check the health of an endpoint."""
+
+    def subscribe_endpoints(self, action: SubscribeEndpoints) -> None:
+        """Subscribe to the endpoint list."""
+
+
+class ControllerLoop:
+    """Collects events, calls the controller once a turn, and dispatches its actions."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Clock,
+        controller: Controller,
+        actions: ActionHandler,
+    ) -> None:
+        """Call this controller on this event loop, and let `actions` carry out what it returns."""
+        self.controller = controller
+        self._loop = loop
+        self._clock = clock
+        self._events: list[Event] = []
+        self._next_error_log_ms = 0.0
+        # Each handler takes the type of action that it stands beside.
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {
+            SendAttempt: actions.send_attempt,
+            Reject: actions.reject,
+            Fail: actions.fail,
+            CancelAttempt: actions.cancel_attempt,
+            SetTimer: actions.set_timer,
+            SendGossip: actions.send_gossip,
+            CheckHealth: actions.check_health,
+            SubscribeEndpoints: actions.subscribe_endpoints,
+        }
+
+    def enqueue(self, event: Event) -> None:
+        """Keep an event for the controller's next turn, at the end of this turn of the event loop."""
+        if not self._events:
+            self._loop.call_soon(self._run_turn)
+        self._events.append(event)
+
+    def _run_turn(self) -> None:
+        events = self._events
+        self._events = []
+        handlers = self._handlers
+        for action in self._decide(events):
+            handlers[type(action)](action)
+
+    def _decide(self, events: list[Event]) -> list[Action]:
+        """Return the controller's actions; none if it raises, in which case guard timers answer."""
+        actions: list[Action] = []
+        try:
+            actions = self.controller.handle(self._clock.now(), events)
+            errors = self.controller.errors
+        except Exception as error:
+            errors = [error]
+        if errors:
+            self._log_errors(errors, len(events))
+        return actions
+
+    def _log_errors(self, errors: list[Exception], event_count: int) -> None:
+        now_ms = self._clock.now()
+        if now_ms < self._next_error_log_ms:
+            return
+        self._next_error_log_ms = now_ms + ERROR_LOG_INTERVAL_MS
+        log.error(
+            "controller: %d of %d events failed (logged at most once in %.0f s)",
+            len(errors),
+            event_count,
+            ERROR_LOG_INTERVAL_MS / 1000,
+            exc_info=errors[0],
+        )
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -10,39 +10,22 @@
 
 from gateway.config import Address, Config
 from gateway.gossip.codec import MAX_BYTES
+from gateway.network.bound_socket import bind_socket
 
-ALL_PEERS = -1  # the receiver of a message to all
+# Receiver of a datagram to all peers, in place of a gateway's number.
+ALL_PEERS = -1
 
 log = logging.getLogger(__name__)
 
 
-def bound(kind: socket.SocketKind, address: Address, shared: bool) -> socket.socket:
-    """Return a socket bound to an address, which another process of this gateway may hold as well.
-
-    Raises OSError where the address can't be used.
-    """
-    sock = socket.socket(socket.AF_INET, kind)
-    try:
-        sock.setblocking(False)
-        if kind is socket.SOCK_STREAM:  # for datagrams it would let anybody take them
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        sock.bind(address)
-    except OSError:
-        sock.close()
-        raise
-    return sock
-
-
 class GossipSocket:
-    """Sends datagrams to other gateways and receives theirs; a sender is known by its address alone.
+    """Exchanges datagrams with other gateways, which are identified by their addresses.
 
-    On a plain socket: the loop's own datagram transport takes several times as long for each message.
+    It is a plain socket: the event loop's datagram transport needs several times the CPU for each datagram.
     """
 
     def __init__(self, config: Config, on_message: Callable[[int, bytes], None]) -> None:
-        """Hand what other gateways send to `on_message`, with the sender's number."""
+        """Pass the datagrams of other gateways to `on_message`, with the sender's number."""
         self._config = config
         self._on_message = on_message
         self._numbers = {
@@ -57,35 +40,44 @@
         return self._socket
 
     def open(self, loop: asyncio.AbstractEventLoop, handed_over: socket.socket | None = None) -> None:
-        """Listen, where the configuration has peers: on a socket that was handed over, or on a new one."""
+        """Listen on the predecessor's socket, or on a new one; do nothing if no address is configured.
+
+        Raises OSError if the address cannot be used.
+        """
         if self._config.peer_listen is None:
             return
         self._loop = loop
-        self._socket = handed_over or bound(
-            socket.SOCK_DGRAM, self._config.peer_listen, self._config.shares_addresses
+        self._socket = handed_over or bind_socket(
+            socket.SOCK_DGRAM, self._config.peer_listen, is_shared=self._config.shares_addresses
         )
         self.listen()
 
     def listen(self) -> None:
         """Receive datagrams."""
         if self._socket is not None and self._loop is not None:
-            self._loop.add_reader(self._socket, self._receive)
+            self._loop.add_reader(self._socket, self._receive, self._socket)
 
     def stop_listening(self) -> None:
-        """Leave datagrams to another process; this one only sends."""
+        """Leave datagrams to another process; this one can still send."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
 
     def send(self, receiver: int, data: bytes) -> None:
-        """Send a datagram to one gateway by its number, or to ALL_PEERS. It may be lost, as any may be."""
+        """Send a datagram to the gateway of that number, or to ALL_PEERS; it may be lost."""
         if self._socket is None:
             return
         if len(data) > MAX_BYTES:
-            log.error("a message of %d bytes to gateway %d was not sent", len(data), receiver)
+            log.error(
+                "gossip: datagram of %d bytes to gateway %d not sent, the limit is %d bytes",
+                len(data),
+                receiver,
+                MAX_BYTES,
+            )
             return
         address = self._address_of(receiver)
         if address is not None:
-            with contextlib.suppress(OSError):  # a peer that is down, or a full buffer
+            # OSError: the peer is down, or the socket's buffer is full.
+            with contextlib.suppress(OSError):
                 self._socket.sendto(data, address)
 
     def close(self) -> None:
@@ -101,13 +93,13 @@
             return self._config.peers_all
         return peers[receiver] if 0 <= receiver < len(peers) else None
 
-    def _receive(self) -> None:
-        """Receive one datagram; the loop calls again at once if there are more."""
-        assert self._socket is not None
+    def _receive(self, sock: socket.socket) -> None:
+        """Receive one datagram; the event loop calls again if more are queued."""
         try:
-            data, address = self._socket.recvfrom(MAX_BYTES + 1)
-        except OSError:  # nothing there, or the echo of a message that a peer could not take
+            data, address = sock.recvfrom(MAX_BYTES + 1)
+        except OSError:  # the queue is empty, or a datagram of ours could not be delivered
             return
+        # Datagrams from unknown addresses and oversized ones are ignored.
         number = self._numbers.get(address)
-        if number is not None and len(data) <= MAX_BYTES:  # a stranger is no peer, whatever it says
+        if number is not None and len(data) <= MAX_BYTES:
             self._on_message(number, data)
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -14,33 +14,48 @@
 from gateway.network.admin.endpoint import AdminEndpoint
 from gateway.network.discovery.watch import Discovery
 from gateway.network.gateway import Gateway
-from gateway.network.hot_restart import HotRestart
-
-FIRST_SNAPSHOT_S = 0.5  # how long the first snapshot is waited for; after that the known list has to do
-# After SIGTERM connections go on coming for up to 0.4 s, clients go on using those that they have, and peers
-# find their customers' quota leader here. All this is served until it is time to finish: the longest
-# deadline, of 3 s at most, and 0.7 s more are sure before SIGKILL.
-MAX_SURE_DEADLINE_S = 3.0
-SURE_BEYOND_DEADLINE_S = 0.7
-SPARE_S = 0.5
-CLOSING_S = 1.0  # so long before the end no connection is kept open any more,
-MIN_SERVICE_S = 0.6  # but not sooner than this
-FINISH_S = 600.0  # each request has its guard, so none waits longer
-POLL_S = 0.02
-SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+from gateway.network.hot_restart.coordinator import HotRestart
+
+# First endpoint list timeout, s: how long the start waits for discovery before it uses the configured list.
+FIRST_LIST_TIMEOUT_S = 0.5
+
+# Guaranteed deadline, s: the platform waits at least this long, or the longest deadline if that is less,
+# before it sends SIGKILL.
+MAX_GUARANTEED_DEADLINE_S = 3.0
+
+# Guaranteed extra time, s: added by the platform to the guaranteed deadline.
+GUARANTEED_EXTRA_S = 0.7
+
+# Shutdown margin, s: the shutdown is planned to end this long before SIGKILL may come.
+SHUTDOWN_MARGIN_S = 0.5
+
+# Draining time, s: connections are closed after their responses from this long before the planned end.
+DRAINING_TIME_S = 1.0
+
+# Minimum service time, s: how long new connections are accepted after SIGTERM, however early the planned end.
+MIN_SERVICE_S = 0.6
+
+# Finish timeout, s: bounds the wait for open requests, each of which has a guard timer or a stall timeout.
+FINISH_TIMEOUT_S = 600.0
+
+# Poll interval, s: how often the shutdown checks for open work.
+POLL_INTERVAL_S = 0.02
+
+# Signals that are blocked at the very end, when no handler is left for them.
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 log = logging.getLogger("gateway")
 
 
 async def serve(config: Config) -> None:
-    """Run one gateway until SIGTERM or SIGINT, then finish what it has taken.
+    """Run one gateway until SIGTERM or SIGINT, then finish its open requests.
 
-    Raises OSError where an address can't be used.
+    Raises OSError if an address cannot be used.
     """
     process = GatewayProcess(config, asyncio.get_running_loop())
     process.handle_signals()
     await process.start()
-    await process.until_told_to_stop()
+    await process.wait_for_stop_signal()
     await process.shut_down()
 
 
@@ -75,7 +90,10 @@
         self._loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
 
     async def start(self) -> None:
-        """Open all sockets, wait a little for the first snapshot, and follow a process that serves."""
+        """Open all sockets, wait for the first endpoint list, and take over from a predecessor.
+
+        Raises OSError if an address cannot be used.
+        """
         self._gateway.on_endpoint_list(self._config.known)
         await self._admin.open(self._config.control)
         await self._hot_restart.find()
@@ -83,52 +101,63 @@
             self._loop.create_task(self._discovery.run()),
             self._loop.create_task(self._reload_on_request()),
         ]
-        try:
-            await asyncio.wait_for(self._discovery.listed.wait(), FIRST_SNAPSHOT_S)
-        except TimeoutError:
-            log.warning("discovery is silent; starting with the known list")
+        await self._wait_for_endpoint_list()
+        # The objects made so far live as long as the process: the garbage collector skips them from now on.
         gc.collect()
-        gc.freeze()  # what the start made stays: it need not be looked through again
+        gc.freeze()
         await self._hot_restart.take_over()
-        self._gateway.ready = True
-        log.info("gateway %s is up", self._config.name)
+        self._gateway.start_serving()
+        log.info("gateway %s: ready", self._config.name)
 
-    async def until_told_to_stop(self) -> None:
+    async def wait_for_stop_signal(self) -> None:
         """Wait for SIGTERM or SIGINT."""
         await self._stop_requested.wait()
 
     async def shut_down(self) -> None:
-        """Serve what still comes, then finish what is open, and close all."""
-        await self._serve_until_closing()
+        """Serve until shortly before the planned end, finish open requests, and close everything."""
+        await self._serve_until_draining()
         await self._finish_open_requests()
         await self._stop_tasks()
         self._gateway.gossip_socket.close()
         self._hot_restart.close_links()
         self._admin.close()
-        # The loop takes its handlers away when it closes, and a signal that comes then would end the process.
-        # With the thread that reads configurations gone, this mask is the whole process's.
+        # The event loop removes its signal handlers when it closes; a signal after that would end the process
+        # with a wrong exit code. Once the executor's thread has ended, this mask holds for the whole process.
         await self._loop.shutdown_default_executor()
-        signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-        log.info("gateway %s has finished", self._config.name)
+        signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
+        log.info("gateway %s: shutdown complete", self._config.name)
 
-    async def _serve_until_closing(self) -> None:
-        classes = self._config.settings.classes
-        longest_s = max(known.deadline_ms for known in classes) / 1000
-        end_s = min(longest_s, MAX_SURE_DEADLINE_S) + SURE_BEYOND_DEADLINE_S - SPARE_S
+    async def _wait_for_endpoint_list(self) -> None:
+        try:
+            await asyncio.wait_for(self._discovery.listed.wait(), FIRST_LIST_TIMEOUT_S)
+        except TimeoutError:
+            log.warning(
+                "discovery: no endpoint list within %.1f s,"
+                " starting with the configured list of %d endpoints",
+                FIRST_LIST_TIMEOUT_S,
+                len(self._config.known.entries),
+            )
+
+    async def _serve_until_draining(self) -> None:
+        """Serve as before: after SIGTERM new connections still arrive, and peers still need this leader."""
+        longest_s = max(known.deadline_ms for known in self._config.settings.classes) / 1000
+        guaranteed_s = min(longest_s, MAX_GUARANTEED_DEADLINE_S) + GUARANTEED_EXTRA_S
+        end_s = guaranteed_s - SHUTDOWN_MARGIN_S
         self._gateway.begin_shutdown(end_s * 1000)
-        closing_at = self._loop.time() + max(MIN_SERVICE_S, end_s - CLOSING_S)
-        while self._loop.time() < closing_at and (
-            self._gateway.has_open_work() or not self._hot_restart.is_retired
-        ):
-            await asyncio.sleep(POLL_S)
+        draining_at_s = self._loop.time() + max(MIN_SERVICE_S, end_s - DRAINING_TIME_S)
+        while self._loop.time() < draining_at_s and self._is_needed():
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def _is_needed(self) -> bool:
+        return self._gateway.has_open_work() or not self._hot_restart.is_retired
 
     async def _finish_open_requests(self) -> None:
         await self._hot_restart.close()
         self._gateway.drain()
-        self._gateway.close_idle()
-        end_at = self._loop.time() + FINISH_S
-        while self._gateway.finishes() and self._loop.time() < end_at:
-            await asyncio.sleep(POLL_S)
+        self._gateway.frontend.close_idle()
+        end_at_s = self._loop.time() + FINISH_TIMEOUT_S
+        while self._gateway.continue_draining() and self._loop.time() < end_at_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _stop_tasks(self) -> None:
         for task in self._tasks:
@@ -136,22 +165,26 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _reload_on_request(self) -> None:
-        """Read the configuration anew whenever that is asked for.
-
-        What can change in service is discovery's address; a file that can't be used changes nothing.
-        """
+        """Reload the configuration on each request; an invalid file changes nothing."""
         while True:
             await self._reload_requested.wait()
-            self._reload_requested.clear()  # before the file is read: a later change is read once more
+            # Cleared before the file is read, so that a change during the read causes another one.
+            self._reload_requested.clear()
             try:
                 config = await asyncio.to_thread(load, os.environ)
             except ConfigError as error:
-                log.error("the configuration stays as it was: %s", error)
-                continue
-            log.info("the configuration was read anew: discovery at %s:%d", *config.discovery)
-            if self._differs_beyond_discovery(config):
-                log.warning("what else has changed in the configuration takes effect at the next start")
-            self._discovery.move(config.discovery)
+                log.error("configuration reload failed, keeping the current configuration: %s", error)
+            else:
+                self._apply(config)
+
+    def _apply(self, config: Config) -> None:
+        """Use the new address of discovery; no other setting can change while the process runs."""
+        log.info("configuration reloaded: discovery at %s:%d", *config.discovery)
+        if self._differs_beyond_discovery(config):
+            log.warning(
+                "configuration reload: changes other than the discovery address take effect at the next start"
+            )
+        self._discovery.move(config.discovery)
 
     def _differs_beyond_discovery(self, config: Config) -> bool:
         own = self._config
--- a/tests/compatibility/test_admin.py
+++ b/tests/compatibility/test_admin.py
@@ -11,6 +11,8 @@
 )
 from support.recordings import check_json, reply_to
 
+from gateway.network.process_role import ServicePhase
+
 CALLS = (
     b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n",
     b"GET /_vars HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -32,6 +34,6 @@
             writer.write(answer())
             await client.answer()
             replies = [await reply_to(gate.door_port, data) for data in CALLS]
-            gate.gateway.ready = False
+            gate.gateway.role.phase = ServicePhase.STARTING
             replies.append(await reply_to(gate.door_port, CALLS[0]))
             check_json("operators.json", replies)
--- a/tests/compatibility/test_clients.py
+++ b/tests/compatibility/test_clients.py
@@ -16,6 +16,7 @@
 from gateway.interface.events import (
     RequestArrived,
 )
+from gateway.network.process_role import ServicePhase
 
 LOOK = {"path": "/look"}
 
@@ -72,7 +73,7 @@
         ]
         up = b"GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
         replies.append(await reply_to(gate.port, up))
-        gate.gateway.ready = False
+        gate.gateway.role.phase = ServicePhase.STARTING
         replies.append(await reply_to(gate.port, up))
         check_json("final-answers.json", replies)
 
--- a/tests/compatibility/test_simulated_day.py
+++ b/tests/compatibility/test_simulated_day.py
@@ -137,7 +137,7 @@
     async with Gate(script) as gate:
         script.to_do = [SetTimer(wake, "agenda")]
         began_ms = gate.gateway.clock.now()
-        gate.gateway.enqueue(TimerFired("begin"))
+        gate.gateway.controller_loop.enqueue(TimerFired("begin"))
         while not [event for event in script.events if event == TimerFired("agenda")]:
             await asyncio.sleep(0.001)
         assert gate.gateway.clock.now() - began_ms >= wake
--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -6,7 +6,8 @@
 
 from gateway.config import config_from
 from gateway.network.admin import endpoint as door
-from gateway.network.gateway import RESERVED_DESCRIPTORS
+from gateway.network.descriptor_limits import RESERVED_DESCRIPTORS
+from gateway.network.process_role import ServicePhase
 
 
 @pytest.mark.parametrize(
@@ -28,12 +29,12 @@
 
 async def test_readiness_is_503_before_the_process_serves():
     async with Gate(Script()) as gate:
-        gate.gateway.ready = False
+        gate.gateway.role.phase = ServicePhase.STARTING
         assert (await call(gate, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
 
 
 async def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch):
-    monkeypatch.setattr(door, "CALL_MS", 200.0)
+    monkeypatch.setattr(door, "REQUEST_TIMEOUT_MS", 200.0)
 
     async def end_of(holder):
         try:
@@ -42,11 +43,11 @@
             return b""
 
     async with Gate(Script()) as gate:
-        holders = [await Client().open(gate.door_port) for _ in range(3 * door.MOST)]
+        holders = [await Client().open(gate.door_port) for _ in range(3 * door.MAX_ADMIN_CONNECTIONS)]
         for holder in holders:
             holder.send(b"GET /_ready HT")
         assert await figures(gate)
-        assert len(gate.door.callers) <= door.MOST
+        assert len(gate.door.connections) <= door.MAX_ADMIN_CONNECTIONS
         told = [await end_of(holder) for holder in holders]
         assert all(text == b"" or b" 408 " in text for text in told) and any(told)
 
@@ -64,5 +65,5 @@
     """Under a limit of 192 they could have held 168, with 26 to 28 in use beside them."""
     gateway = Gate(Script(), limits={"sockets": sockets}).gateway
     rest = sockets - gateway.connections.max_admitted - gateway.upstreams._max
-    assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + door.MOST + 3
+    assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + door.MAX_ADMIN_CONNECTIONS + 3
     assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)  # as before
--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -46,7 +46,7 @@
     assert (await client.send(data).answer())[0] == status and await client.ends()
     writer.write(answer())
     assert (await other.answer())[0] == 200
-    assert len(gate.gateway.open) == 0 and endpoint.requests.empty()
+    assert len(gate.gateway.requests.open) == 0 and endpoint.requests.empty()
 
 
 async def test_id_of_an_open_or_recent_request_is_rejected(endpoint, gate, client):
@@ -59,9 +59,9 @@
     assert (await client.answer())[2] == b"first"
     assert (await other.send(request("00000000000000aa")).answer())[0] == 409
     assert endpoint.requests.empty()
-    gate.gateway._forget_ids()
-    gate.gateway._forget_ids()
-    assert not gate.gateway._ids.to_json()
+    gate.gateway.requests.rotate_ids()
+    gate.gateway.requests.rotate_ids()
+    assert not gate.gateway.requests.ids.to_json()
 
 
 RUDE = {
@@ -98,7 +98,7 @@
 
 async def test_repeated_bad_requests_are_read_with_backoff(gate, client):
     """Each request that is turned away doubles the pause before the next is read; each error goes at once."""
-    gate.gateway.timers = alarms = Timers(asyncio.get_running_loop(), gate.gateway.clock)
+    gate.gateway.frontend.timers = alarms = Timers(asyncio.get_running_loop(), gate.gateway.clock)
     waits, at = [], alarms.at
     alarms.at = lambda at_ms, call: (waits.append(round(at_ms - gate.gateway.clock.now())), at(0.0, call))
     for _ in range(7):
--- a/tests/network/clients/test_connection.py
+++ b/tests/network/clients/test_connection.py
@@ -6,6 +6,8 @@
 
 from support.fakes import answer, request
 
+from gateway.network.process_role import ServicePhase
+
 
 async def test_connection_close_of_the_client_is_honoured(endpoint, client):
     client.send(request(extra="Connection: close\r\n"))
@@ -27,7 +29,7 @@
     client.send(request())
     _, writer = await endpoint.asked()
     client.send(request())
-    (request_,) = gate.gateway.open.values()
+    (request_,) = gate.gateway.requests.open.values()
     while not request_.client.pipelined:
         await asyncio.sleep(0)
     writer.write(answer(body=b"first"))
@@ -64,7 +66,7 @@
 
 async def test_readiness_request_succeeds_only_when_ready(gate, client):
     up = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
-    gate.gateway.ready = False
+    gate.gateway.role.phase = ServicePhase.STARTING
     assert (await client.send(up).answer())[0] == 503
-    gate.gateway.ready = True
+    gate.gateway.role.phase = ServicePhase.SERVING
     assert (await client.send(up).answer())[0] == 200
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -26,7 +26,7 @@
         admission.make_room()
         if gone is not None:
             assert await gone.ends() and len(admission) == most
-    assert len(admission) == 1 and len(gate.gateway.open) == 1
+    assert len(admission) == 1 and len(gate.gateway.requests.open) == 1
 
 
 def sent_unread(client, conn):
@@ -47,7 +47,7 @@
     sent_unread(client, conn)
     if close == "at the end":
         gate.gateway.drain()
-        gate.gateway.close_idle()
+        gate.gateway.frontend.close_idle()
     else:
         gate.gateway.connections.max_kept = 0
         gate.gateway.connections.make_room()
@@ -70,7 +70,7 @@
         asked.cancel()
         late = (await gate.client()).send(request())
     gone.cancel()
-    assert len(admission) <= admission.max_admitted and len(gate.gateway.open) == 1
+    assert len(admission) <= admission.max_admitted and len(gate.gateway.requests.open) == 1
     for one in crowd:
         one.close()
 
--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -22,7 +22,7 @@
     await endpoint.asked()
     came = await gate.script.event(RequestArrived)
     client.close()
-    assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.gateway.open
+    assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.gateway.requests.open
 
 
 @pytest.mark.scripted_controller(endpoint=None)
@@ -35,7 +35,7 @@
     async with asyncio.timeout(5):
         assert (await gate.script.event(ClientDisconnected)).id == came.id
     gate.script.to_do = [SendAttempt(came.id, "w1", 9000.0)]
-    gate.gateway.enqueue(TimerFired("its turn"))
+    gate.gateway.controller_loop.enqueue(TimerFired("its turn"))
     assert (
         await gate.script.event(AttemptEnded)
     ).result is AttemptResult.NOT_SENT and endpoint.connections == 0
@@ -67,17 +67,17 @@
         await asyncio.get_running_loop().sock_connect(sock, (HOST, gate.port))
         sock.send(request())
         came = await gate.script.event(RequestArrived)
-    gate.gateway._send(SendAttempt(came.id, "w1", 9000.0))  # before the loop can read it
+    gate.gateway.send_attempt(SendAttempt(came.id, "w1", 9000.0))  # before the loop can read it
     done = await gate.script.event(AttemptEnded)
     assert (done.id, done.result, done.final) == (came.id, AttemptResult.NOT_SENT, True)
     assert (await gate.script.event(ClientDisconnected)).id == came.id
-    assert endpoint.requests.empty() and not gate.gateway.attempts
+    assert endpoint.requests.empty() and not gate.gateway.attempts.in_flight
 
 
 async def test_incompletely_written_attempt_ends_with_its_client(endpoint, gate, client):
     client.send(request(path="/debit", body=bytes(60_000)))
     await endpoint.asked()
-    (attempt,) = gate.gateway.attempts.values()
+    (attempt,) = gate.gateway.attempts.in_flight.values()
     attempt.connection.pause_writing()  # as the transport tells it while bytes are left
     client.close()
     done = await gate.script.event(AttemptEnded)
--- a/tests/network/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -26,7 +26,7 @@
     assert (came.class_name, came.plan_name, came.spread) == ("book", "basic", 2)
     outcome = await gate.script.event(AttemptEnded)
     assert outcome.result is AttemptResult.OK and outcome.final and outcome.load == (0.5, 7.0)
-    assert not gate.gateway.open and not gate.gateway.attempts
+    assert not gate.gateway.requests.open and not gate.gateway.attempts.in_flight
 
 
 async def test_first_response_of_two_hedged_attempts_is_the_final_answer(endpoint, gate, client):
@@ -34,7 +34,7 @@
     _, first = await endpoint.asked()
     came = await gate.script.event(RequestArrived)
     gate.script.to_do = [SendAttempt(came.id, "w1", 9000.0)]
-    gate.gateway.enqueue(TimerFired("hedge"))
+    gate.gateway.controller_loop.enqueue(TimerFired("hedge"))
     _, second = await endpoint.asked()
     second.write(answer(body=b"second"))
     assert (await client.answer())[2] == b"second"
@@ -49,7 +49,7 @@
 
 async def test_send_for_an_ended_request_ends_as_not_sent(endpoint, gate, client):
     gate.script.to_do = [SendAttempt(77, "w1", 100.0)]
-    gate.gateway.enqueue(TimerFired("late"))
+    gate.gateway.controller_loop.enqueue(TimerFired("late"))
     assert (
         await gate.script.event(AttemptEnded)
     ).result is AttemptResult.NOT_SENT and endpoint.connections == 0
@@ -69,7 +69,7 @@
     gateway.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
     gateway.timers = type("Kept", (), {"at": staticmethod(lambda at_ms, call: times.append(at_ms))})
     for after_ms in (0.0, 0.5, 4.0, 4.5):
-        gateway._wake(SetTimer(after_ms, "agenda"))
+        gateway.set_timer(SetTimer(after_ms, "agenda"))
     assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
 
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -11,7 +11,7 @@
     RequestArrived,
 )
 from gateway.network.gateway import Gateway
-from gateway.network.hot_restart import HotRestart
+from gateway.network.hot_restart.coordinator import HotRestart
 
 
 async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
@@ -27,13 +27,13 @@
             sock.sendall(request())  # nothing has been accepted: no await since
             await handover.close()
             gateway.drain()
-            gateway.close_idle()
+            gateway.frontend.close_idle()
             _, writer = await worker.asked()
             writer.write(answer())
             assert (await asyncio.to_thread(sock.recv, 99)).startswith(b"HTTP/1.1 200")
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection((HOST, port), 5)
-            while gateway.finishes():
+            while gateway.continue_draining():
                 await asyncio.sleep(0)
 
 
@@ -44,4 +44,4 @@
     client.send(request(deadline=10_000))
     came = await gate.script.event(RequestArrived)
     assert came.deadline_at_ms < began + 150.0
-    assert (await client.answer())[0] == 504 and not gate.gateway.open
+    assert (await client.answer())[0] == 504 and not gate.gateway.requests.open
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -75,13 +75,13 @@
     _, writer = await endpoint.calls.get()
     writer.transport.pause_reading()
     (one,) = gate.gateway.connections.all
-    (attempt,) = gate.gateway.attempts.values()
+    (attempt,) = gate.gateway.attempts.in_flight.values()
     await until(lambda: attempt.connection and attempt.connection.blocked and one.held_ms)
     assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
     gate.gateway.connections.sweep(gate.gateway.clock.now() + 60_000, False)
     assert not one.ending  # the delay is not the client's
     gate.gateway.upstreams._sweep()
-    assert gate.gateway.attempts and attempt.connection.waits
+    assert gate.gateway.attempts.in_flight and attempt.connection.waits
     monkeypatch.setattr(workers, "UPLOAD_STALL_MS", -1.0)
     gate.gateway.upstreams._sweep()  # but one that never takes anything is not waited for
     assert (await gate.script.event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
@@ -99,7 +99,7 @@
     assert (await client.answer())[0] == 503
     client.send(bytes(LARGE - 1000) + request())
     assert (await client.answer())[0] == 503
-    assert not gate.gateway.open
+    assert not gate.gateway.requests.open
 
 
 async def test_disconnect_during_a_body_ends_the_attempt(endpoint, gate, client):
@@ -111,7 +111,7 @@
     ).result is AttemptResult.NOT_SENT  # the endpoint is not to blame
     with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
         await reader.readexactly(LARGE)
-    assert not gate.gateway.open and not gate.gateway.attempts
+    assert not gate.gateway.requests.open and not gate.gateway.attempts.in_flight
 
 
 @pytest.mark.scripted_controller(endpoint=None)
@@ -119,7 +119,7 @@
     """Nothing is read from it then, and the end of its connection lies behind what it has sent."""
     client.send(upload(LARGE) + bytes(bodies.MAX_BUFFERED))
     came = await gate.script.event(RequestArrived)
-    await until(lambda: gate.gateway.open[came.id].client.held_ms)
+    await until(lambda: gate.gateway.requests.open[came.id].client.held_ms)
     client.close()
     async with asyncio.timeout(5):
         assert (await gate.script.event(ClientDisconnected)).id == came.id
@@ -131,7 +131,7 @@
     await gate.script.event(BodyReleased)
     await endpoint.asked()
     gate.script.to_do = [SendAttempt(came.id, "w1", 9000.0)]
-    gate.gateway.enqueue(TimerFired("hedge"))
+    gate.gateway.controller_loop.enqueue(TimerFired("hedge"))
     done = await gate.script.event(AttemptEnded)
     assert (done.attempt, done.result) == (1, AttemptResult.NOT_SENT) and endpoint.calls.empty()
 
--- a/tests/network/test_streamed_responses.py
+++ b/tests/network/test_streamed_responses.py
@@ -36,7 +36,7 @@
     head = await client.reader.readuntil(b"\r\n\r\n")
     assert (b"chunked" in head) == (framing == "chunks") and b" 200 " in head
     started = await gate.script.event(ResponseStarted)
-    assert started.attempt == 0 and len(gate.gateway.open) == 1
+    assert started.attempt == 0 and len(gate.gateway.requests.open) == 1
     writer.write(half if framing == "length" else b"\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(half), half))
     got = b""
     while framing == "length" and len(got) < 2 * len(half):
@@ -49,7 +49,7 @@
             break
     assert got == 2 * half
     outcome = await gate.script.event(AttemptEnded)
-    assert outcome.result is AttemptResult.OK and outcome.final and not gate.gateway.open
+    assert outcome.result is AttemptResult.OK and outcome.final and not gate.gateway.requests.open
     client.send(request())  # the connection stays
     await gate.script.event(RequestArrived)
 
@@ -103,4 +103,5 @@
     monkeypatch.setattr(workers, "STALL_MS", -1.0)
     gate.gateway.upstreams._sweep()
     gate.gateway.upstreams._sweep()  # by now nothing has changed since the last look
-    assert (await gate.script.event(AttemptEnded)).result is AttemptResult.RESET and not gate.gateway.open
+    ended = await gate.script.event(AttemptEnded)
+    assert ended.result is AttemptResult.RESET and not gate.gateway.requests.open
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -31,9 +31,9 @@
         client = await gate.client()
         client.send(request(path="/debit", body=bytes(60_000)))
         await started.wait()
-        while not gate.gateway.attempts:
+        while not gate.gateway.attempts.in_flight:
             await gate.script.came.wait()
-        (attempt,) = gate.gateway.attempts.values()
+        (attempt,) = gate.gateway.attempts.in_flight.values()
         while attempt.connection is None:
             await asyncio.sleep(0)
         attempt.connection.pause_writing()  # as the transport tells it while bytes are left
@@ -56,7 +56,7 @@
     _, writer = await endpoint.asked()
     came = await gate.script.event(RequestArrived)
     gate.script.to_do = [Reject(came.id, 250.0), CancelAttempt(came.id, 0)]
-    gate.gateway.enqueue(TimerFired("now"))
+    gate.gateway.controller_loop.enqueue(TimerFired("now"))
     status, headers, _ = await client.answer()
     assert status == 503 and headers["retry-after"] == "0.250"
     assert (await gate.script.event(AttemptEnded)).result is AttemptResult.CANCELLED
@@ -78,7 +78,7 @@
         _, first = await endpoint.asked()
         opened, go = hold_dials(gate)
         gate.script.to_do = [SendAttempt((await gate.script.event(RequestArrived)).id, "w1", 9000.0)]
-        gate.gateway.enqueue(TimerFired("hedge"))
+        gate.gateway.controller_loop.enqueue(TimerFired("hedge"))
     else:
         opened, go = hold_dials(gate)
         client.send(request(deadline=deadline))
@@ -96,7 +96,7 @@
     assert (done.result, done.final) == (AttemptResult.NOT_SENT, True)
     while gate.gateway.upstreams._connections > len(gate.gateway.upstreams._known["w1"].idle):
         await asyncio.sleep(0)
-    assert endpoint.requests.empty() and not gate.gateway.attempts
+    assert endpoint.requests.empty() and not gate.gateway.attempts.in_flight
 
 
 def limit(gate, in_ms):
@@ -142,7 +142,7 @@
     limit(gate, 200)
     client.send(request(path="/debit", body=bytes(60_000)))
     _, writer = await endpoint.asked()
-    (attempt,) = gate.gateway.attempts.values()
+    (attempt,) = gate.gateway.attempts.in_flight.values()
     if blocked:
         attempt.connection.pause_writing()  # as the transport tells it while bytes are left
         assert (await endpoint.asked())[0] is None  # the end of the connection
--- a/tests/process/test_logging.py
+++ b/tests/process/test_logging.py
@@ -59,9 +59,9 @@
                 if not select.select([reader], [], [], 0)[0]:
                     break
             process.send_signal(signal.SIGHUP)
-            while b"read anew" not in said:
+            while b"configuration reloaded" not in said:
                 said += await loop.run_in_executor(None, os.read, reader, 4096)
-            assert b" log records were dropped" in said
+            assert b" records dropped, the reader of standard error was stalled" in said
 
         with_program(tmp_path, scenario, stderr=log)
     finally:
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -110,7 +110,7 @@
             for number in signals:
                 process.send_signal(number)
             _, said = await process.communicate()
-            assert process.returncode == 0 and b"has finished" in said and b"Traceback" not in said
+            assert process.returncode == 0 and b": shutdown complete" in said and b"Traceback" not in said
         finally:
             if process.returncode is None:
                 process.kill()
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -133,13 +133,13 @@
 
     async def __aenter__(self):
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: ClientConnection(self.gateway), HOST, 0
+            lambda: ClientConnection(self.gateway.frontend), HOST, 0
         )
         self.port = self.server.sockets[0].getsockname()[1]
         self.door = AdminEndpoint(self.gateway)
         await self.door.open((HOST, 0))
         self.door_port = self.door._server.sockets[0].getsockname()[1]
-        self.gateway.ready = True
+        self.gateway.start_serving()
         return self
 
     async def __aexit__(self, *_):
--- a/tests/support/gateway_scenarios.py
+++ b/tests/support/gateway_scenarios.py
@@ -42,4 +42,4 @@
 
 def later(gate, ms):
     """Let so much time go by for the connections of clients."""
-    gate.gateway.connections.sweep(gate.gateway.clock.now() + ms, gate.gateway.draining)
+    gate.gateway.connections.sweep(gate.gateway.clock.now() + ms, gate.gateway.frontend.draining)
