--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -8,11 +8,13 @@
 from gateway.interface.events import AttemptEnded, AttemptResult, ResponseStarted
 from gateway.network.admin.metrics import FinalStatus
 from gateway.network.attempt_table import AttemptTable
+from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clock import Clock
 from gateway.network.controller_loop import EventSink
 from gateway.network.open_request import OpenRequest
 from gateway.network.request_table import RequestTable
-from gateway.network.upstream.connection import UpstreamAttempt, UpstreamConnection, UpstreamPool
+from gateway.network.upstream.attempt import AttemptOutcome, UpstreamAttempt
+from gateway.network.upstream.pool import UpstreamPool
 from gateway.network.upstream.response_sink import ResponseSink
 
 
@@ -50,14 +52,14 @@
         """Cancel an attempt, if it is in flight."""
         attempt = self._attempts.get(action.id, action.attempt)
         if attempt is not None:
-            attempt.end(AttemptResult.CANCELLED)
+            attempt.cancel()
 
     def on_request_completed(self, request: OpenRequest, timeout_ms: float) -> None:
         """Start the timeouts of a request's attempts, now that its last byte has been received."""
         now_ms = self._clock.now()
         for attempt in self._attempts.of_request(request):
             attempt.started_ms = now_ms
-            self._upstreams.allow(attempt, timeout_ms)
+            self._upstreams.set_timeout(attempt, timeout_ms)
 
     def _start(self, request: OpenRequest, action: SendAttempt) -> None:
         upload = request.upload
@@ -68,8 +70,7 @@
             action.endpoint,
             request.message(timeout_ms),
             upload,
-            self._on_ended,
-            self._on_response_started,
+            self,
             action.send_by_ms,
         )
         request.attempts += 1
@@ -81,12 +82,10 @@
             AttemptEnded(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True)
         )
 
-    def _on_response_started(
-        self,
-        attempt: UpstreamAttempt,
-        source: UpstreamConnection,
-        length: int | None,
-        content_type: bytes,
+    # -- the attempts' reports (`AttemptObserver`)
+
+    def on_response_started(
+        self, attempt: UpstreamAttempt, source: ResponseSource, length: int | None, content_type: bytes
     ) -> ResponseSink | None:
         """Begin to forward a large response.
 
@@ -96,53 +95,41 @@
         if request is None or request.streaming_attempt is not None:
             return None
         request.streaming_attempt = attempt.number
-        attempt.answered_ms = self._clock.now()
+        attempt.on_forwarding_started(self._clock.now())
         # From now on the response ends by itself, or when no progress is made.
-        for timer in (request.guard, attempt.alarm):
-            if timer is not None:
-                timer.cancel()
+        if request.guard is not None:
+            request.guard.cancel()
         request.client.start_response(source, length, content_type)
         self._events.enqueue(ResponseStarted(request.id, attempt.number, attempt.endpoint_id))
         return request.client
 
-    def _on_ended(
-        self,
-        attempt: UpstreamAttempt,
-        result: AttemptResult,
-        body: bytes,
-        content_type: bytes,
-        load: tuple[float, ...],
-    ) -> None:
+    def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """Give the final answer, if this attempt decides it, and report the result."""
         self._attempts.remove(attempt)
         request = self._requests.open.get(attempt.request_id)
-        is_final = request is None or self._finish_request(request, attempt, result, body, content_type)
-        # The latency of a response that is forwarded counts to its first bytes.
-        ended_ms = attempt.answered_ms or self._clock.now()
+        is_final = request is None or self._finish_request(request, attempt, outcome)
         self._events.enqueue(
             AttemptEnded(
                 attempt.request_id,
                 attempt.number,
                 attempt.endpoint_id,
-                ended_ms - attempt.started_ms,
-                result,
+                attempt.latency_ms(self._clock.now()),
+                outcome.result,
                 is_final,
-                load=load,
+                load=outcome.load,
             )
         )
 
     def _finish_request(
-        self,
-        request: OpenRequest,
-        attempt: UpstreamAttempt,
-        result: AttemptResult,
-        body: bytes,
-        content_type: bytes,
+        self, request: OpenRequest, attempt: UpstreamAttempt, outcome: AttemptOutcome
     ) -> bool:
         """Answer an open request if this attempt decides it; return whether it does."""
+        is_successful = outcome.result is AttemptResult.OK
         if request.streaming_attempt == attempt.number:
-            self._requests.finish_response(request, result is AttemptResult.OK)
+            self._requests.finish_response(request, is_complete=is_successful)
             return True
-        if request.streaming_attempt is None and result is AttemptResult.OK:
-            return self._requests.answer(request, FinalStatus.FULFILLED, HTTPStatus.OK, body, content_type)
+        if request.streaming_attempt is None and is_successful:
+            return self._requests.answer(
+                request, FinalStatus.FULFILLED, HTTPStatus.OK, outcome.body, outcome.content_type
+            )
         return False
--- a/gateway/network/attempt_table.py
+++ b/gateway/network/attempt_table.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from gateway.interface.events import AttemptResult
 from gateway.network.open_request import OpenRequest
-from gateway.network.upstream.connection import UpstreamAttempt
+from gateway.network.upstream.attempt import UpstreamAttempt
 
 
 class AttemptTable:
@@ -44,4 +43,4 @@
         """Cancel the attempt whose response is being forwarded."""
         for attempt in self.of_request(request):
             if attempt.number == request.streaming_attempt:
-                attempt.end(AttemptResult.CANCELLED)
+                attempt.cancel()
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -34,7 +34,7 @@
 from gateway.network.gossip_socket import GossipSocket
 from gateway.network.process_role import ProcessRole, ServicePhase, SiblingLink, SuccessorLink
 from gateway.network.request_table import RequestTable
-from gateway.network.upstream.connection import UpstreamPool
+from gateway.network.upstream.pool import UpstreamPool
 from gateway.policy.controller import Controller
 from gateway.policy.state_transfer import hot_restart
 from gateway.policy.state_transfer.gateway_state import GatewayState
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -3,11 +3,11 @@
 import heapq
 
 import pytest
-from support.fakes import config
+from support.configurations import configuration
 
 from gateway.config import config_from
 from gateway.errors import BadRequestError
-from gateway.interface.events import AttemptResult, ClientDisconnected
+from gateway.interface.events import ClientDisconnected
 from gateway.network.admin.metrics import FinalStatus, Metrics
 from gateway.network.attempt_table import AttemptTable
 from gateway.network.clients.received_request import ReceivedRequest
@@ -20,7 +20,7 @@
     RequestTable,
 )
 
-CLASS = config_from(config(), {}).settings.classes[0]
+CLASS = config_from(configuration(), {}).settings.classes[0]
 
 
 class ManualTimers:
@@ -74,8 +74,8 @@
     def expire(self):
         self.ends.append("expired")
 
-    def end(self, result):
-        self.ends.append(result)
+    def cancel(self):
+        self.ends.append("cancelled")
 
 
 class Site:
@@ -176,7 +176,7 @@
     site.table.on_client_gone(request)
     site.table.on_client_gone(request)
     assert site.events == [ClientDisconnected(request.id)]
-    assert (plain.ends, streaming.ends) == (["expired"], [AttemptResult.CANCELLED])
+    assert (plain.ends, streaming.ends) == (["expired"], ["cancelled"])
     assert not answer_ok(site, request)
     site.timers.advance(500.0)
     assert site.client.written == [] and site.counted() == {}
