--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -10,7 +10,8 @@
 
 from gateway.config import config_from
 from gateway.network.admin import endpoint as admin_endpoint
-from gateway.network.gateway import RESERVED_DESCRIPTORS
+from gateway.network.descriptor_limits import RESERVED_DESCRIPTORS
+from gateway.network.process_role import ServicePhase
 
 
 @pytest.mark.parametrize(
@@ -30,7 +31,7 @@
 
 
 async def test_readiness_is_503_before_the_process_serves(running_gateway, gateway):
-    gateway.ready = False
+    gateway.role.phase = ServicePhase.STARTING
     assert (await admin_call(running_gateway, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
 
 
@@ -42,13 +43,13 @@
 
 
 async def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch, running_gateway):
-    monkeypatch.setattr(admin_endpoint, "CALL_MS", 200.0)
-    max_callers = admin_endpoint.MOST
+    monkeypatch.setattr(admin_endpoint, "REQUEST_TIMEOUT_MS", 200.0)
+    max_callers = admin_endpoint.MAX_ADMIN_CONNECTIONS
     callers = [await TestClient().connect(running_gateway.admin_port) for _ in range(3 * max_callers)]
     for caller in callers:
         caller.send(b"GET /_ready HT")
     assert await read_metrics(running_gateway)
-    assert len(running_gateway.admin.callers) <= max_callers
+    assert len(running_gateway.admin.connections) <= max_callers
     responses = [await read_to_end(caller) for caller in callers]
     assert all(text == b"" or b" 408 " in text for text in responses) and any(responses)
 
@@ -65,5 +66,5 @@
 async def test_descriptors_for_the_admin_endpoint_are_reserved(sockets):
     gateway = RunningGateway(ScriptedController(), limits={"sockets": sockets}).gateway
     rest = sockets - gateway.connections.max_admitted - gateway.upstreams.max_connections
-    assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + admin_endpoint.MOST + 3
+    assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + admin_endpoint.MAX_ADMIN_CONNECTIONS + 3
     assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)
--- a/tests/process/test_logging.py
+++ b/tests/process/test_logging.py
@@ -60,6 +60,6 @@
     output = b""
     drain_filler(reader)
     process.send_signal(signal.SIGHUP)
-    while b"read anew" not in output:
+    while b"configuration reloaded" not in output:
         output += await loop.run_in_executor(None, os.read, reader, READ_BYTES)
-    assert b" log records were dropped" in output
+    assert b" records dropped, the reader of standard error was stalled" in output
