--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -23,7 +23,7 @@
     await endpoint.next_request()
     arrival = await controller.next_event(RequestArrived)
     client.close()
-    assert (await controller.next_event(ClientDisconnected)).id == arrival.id and not gateway.open
+    assert (await controller.next_event(ClientDisconnected)).id == arrival.id and not gateway.requests.open
 
 
 @pytest.mark.scripted_controller(endpoint=None)
@@ -37,7 +37,7 @@
     async with asyncio.timeout(5):
         assert (await controller.next_event(ClientDisconnected)).id == arrival.id
     controller.pending_actions = [SendAttempt(arrival.id, "w1", 9000.0)]
-    gateway.enqueue(TimerFired("dispatch"))
+    gateway.controller_loop.enqueue(TimerFired("dispatch"))
     outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.NOT_SENT
     assert endpoint.connection_count == 0
@@ -71,17 +71,17 @@
         await asyncio.get_running_loop().sock_connect(sock, (HOST, running_gateway.port))
         sock.send(http_request())
         arrival = await controller.next_event(RequestArrived)
-    gateway._send(SendAttempt(arrival.id, "w1", 9000.0))  # before the end is read
+    gateway.send_attempt(SendAttempt(arrival.id, "w1", 9000.0))  # before the end is read
     outcome = await controller.next_event(AttemptEnded)
     assert (outcome.id, outcome.result, outcome.final) == (arrival.id, AttemptResult.NOT_SENT, True)
     assert (await controller.next_event(ClientDisconnected)).id == arrival.id
-    assert endpoint.requests.empty() and not gateway.attempts
+    assert endpoint.requests.empty() and not gateway.attempts.in_flight
 
 
 async def test_incompletely_written_attempt_ends_with_its_client(endpoint, controller, gateway, client):
     client.send(http_request(path="/debit", body=bytes(60_000)))
     await endpoint.next_request()
-    (attempt,) = gateway.attempts.values()
+    (attempt,) = gateway.attempts.in_flight.values()
     attempt.connection.pause_writing()  # as the transport does while bytes are unwritten
     client.close()
     outcome = await controller.next_event(AttemptEnded)
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -13,7 +13,7 @@
 from gateway.config import config_from
 from gateway.interface.events import RequestArrived
 from gateway.network.gateway import Gateway
-from gateway.network.hot_restart import HotRestart
+from gateway.network.hot_restart.coordinator import HotRestart
 
 
 async def test_connections_in_the_accept_queue_are_served_when_the_listener_closes():
@@ -31,13 +31,13 @@
             sock.sendall(http_request())  # not accepted yet, because nothing was awaited since
             await handover.close()
             gateway.drain()
-            gateway.close_idle()
+            gateway.frontend.close_idle()
             _, writer = await endpoint.next_request()
             writer.write(http_response())
             assert (await asyncio.to_thread(sock.recv, 99)).startswith(b"HTTP/1.1 200")
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection((HOST, port), 5)
-            while gateway.finishes():
+            while gateway.continue_draining():
                 await asyncio.sleep(0)
 
 
@@ -48,4 +48,4 @@
     client.send(http_request(deadline=10_000))
     arrival = await controller.next_event(RequestArrived)
     assert arrival.deadline_at_ms < began_ms + 150.0
-    assert (await client.next_response()).status == 504 and not gateway.open
+    assert (await client.next_response()).status == 504 and not gateway.requests.open
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -34,9 +34,9 @@
         client = await running_gateway.connect()
         client.send(http_request(path="/debit", body=bytes(60_000)))
         writer = await accepted.get()
-        while not running_gateway.gateway.attempts:
+        while not running_gateway.gateway.attempts.in_flight:
             await controller.event_received.wait()
-        (attempt,) = running_gateway.gateway.attempts.values()
+        (attempt,) = running_gateway.gateway.attempts.in_flight.values()
         while attempt.connection is None:
             await asyncio.sleep(0)
         attempt.connection.pause_writing()  # as the transport does while bytes are unwritten
@@ -62,7 +62,7 @@
     _, writer = await endpoint.next_request()
     arrival = await controller.next_event(RequestArrived)
     controller.pending_actions = [Reject(arrival.id, 250.0), CancelAttempt(arrival.id, 0)]
-    gateway.enqueue(TimerFired("now"))
+    gateway.controller_loop.enqueue(TimerFired("now"))
     status, headers, _ = await client.next_response()
     assert status == 503 and headers["retry-after"] == "0.250"
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.CANCELLED
@@ -86,7 +86,7 @@
         controller.pending_actions = [
             SendAttempt((await controller.next_event(RequestArrived)).id, "w1", 9000.0)
         ]
-        gateway.enqueue(TimerFired("hedge"))
+        gateway.controller_loop.enqueue(TimerFired("hedge"))
     else:
         due, release = hold_connections(gateway)
         client.send(http_request(deadline=deadline))
@@ -104,7 +104,7 @@
     assert (outcome.result, outcome.final) == (AttemptResult.NOT_SENT, True)
     while gateway.upstreams._connections > len(gateway.upstreams.registry.endpoints["w1"].idle):
         await asyncio.sleep(0)
-    assert endpoint.requests.empty() and not gateway.attempts
+    assert endpoint.requests.empty() and not gateway.attempts.in_flight
 
 
 def set_send_deadline(controller, gateway, in_ms):
@@ -150,7 +150,7 @@
     set_send_deadline(controller, gateway, 200)
     client.send(http_request(path="/debit", body=bytes(60_000)))
     _, writer = await endpoint.next_request()
-    (attempt,) = gateway.attempts.values()
+    (attempt,) = gateway.attempts.in_flight.values()
     if blocked:
         attempt.connection.pause_writing()  # as the transport does while bytes are unwritten
         assert (await endpoint.next_request()).is_disconnect
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -61,7 +61,7 @@
     assert (await discovery_service.next_call()).target.startswith("/discovery/hosts?since=")
     config_path.write_text("{")
     process.send_signal(signal.SIGHUP)
-    while b"stays as it was" not in await process.stderr.readline():
+    while b"keeping the current configuration" not in await process.stderr.readline():
         pass
     async with FakeDiscovery() as second, FakeDiscovery() as third, FakeEndpoint() as other:
         for new in (second, third):  # the second signal comes while the first move is under way
@@ -104,6 +104,6 @@
         for number in signals:
             process.send_signal(number)
         _, output = await process.communicate()
-        assert process.returncode == 0 and b"has finished" in output and b"Traceback" not in output
+        assert process.returncode == 0 and b": shutdown complete" in output and b"Traceback" not in output
     finally:
         await kill(process)
