--- a/gateway/network/clients/request_parser.py
+++ b/gateway/network/clients/request_validator.py
@@ -18,7 +18,7 @@
 _KEY = re.compile(rb"[!-~]{1,128}")
 
 
-class ParsedRequest(NamedTuple):
+class ValidatedRequest(NamedTuple):
     """What a request says of itself."""
 
     id: bytes
@@ -33,7 +33,7 @@
     key: bytes | None
 
 
-class RequestParser:
+class RequestValidator:
     """Reads requests by the settings."""
 
     def __init__(self, settings: Settings) -> None:
@@ -44,9 +44,9 @@
             functools.partial(call_terms, gateways=settings.gateways, most_units=settings.max_units)
         )
 
-    def read(
+    def validate(
         self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool
-    ) -> ParsedRequest:
+    ) -> ValidatedRequest:
         """The form of a whole request; raises BadRequestError."""
         if not target.startswith(b"/"):
             raise BadRequestError("the target is no path")
@@ -74,7 +74,7 @@
         wait_ms = whole_number(header(headers, b"x-deadline-ms"), 1)
         units, spread, first = self._terms(header(headers, b"x-call-terms"))
         # Nobody is kept waiting for longer than the class allows, however long the client would.
-        return ParsedRequest(
+        return ValidatedRequest(
             request_id,
             customer.decode(),
             kind,
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -49,7 +49,7 @@
     LimitedConnection,
 )
 from gateway.network.clients.received_request import ReceivedRequest
-from gateway.network.clients.request_parser import ParsedRequest, RequestParser
+from gateway.network.clients.request_validator import RequestValidator, ValidatedRequest
 from gateway.network.clock import Clock, Timers
 from gateway.network.gossip_socket import GossipSocket
 from gateway.network.open_request import OpenRequest, upstream_head
@@ -101,7 +101,7 @@
         )
         self.gossip_socket = GossipSocket(config, self.on_gossip)
         self.connections = ConnectionLimiter(shareable_descriptors(config.sockets))
-        self.request_parser = RequestParser(config.settings)
+        self.request_validator = RequestValidator(config.settings)
         self.open: dict[int, OpenRequest] = {}
         self.attempts: dict[tuple[int, int], UpstreamAttempt] = {}  # all that are out, also of ended requests
         self.ready = self.draining = self.ending = False
@@ -216,7 +216,7 @@
         From its last byte on it is owed one final answer. Raises BadRequestError.
         """
         upload = received.upload
-        parsed = self.request_parser.read(
+        parsed = self.request_validator.validate(
             received.method, received.target, received.headers, received.has_body
         )
         # One id is one request: a second of that name, of whomever, would pass for a copy of the first.
@@ -244,7 +244,7 @@
         return request
 
     def _open(
-        self, client: ClientConnection, parsed: ParsedRequest, received: ReceivedRequest
+        self, client: ClientConnection, parsed: ValidatedRequest, received: ReceivedRequest
     ) -> OpenRequest:
         upload = received.upload
         framing = None
--- a/gateway/network/open_request.py
+++ b/gateway/network/open_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from gateway.network.clients.request_parser import ParsedRequest
+from gateway.network.clients.request_validator import ValidatedRequest
 from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clients.upload import Upload
 from gateway.network.clock import Timer
@@ -60,7 +60,7 @@
 
 
 def upstream_head(
-    parsed: ParsedRequest, method: bytes, target: bytes, content_type: bytes | None, framing: bytes | None
+    parsed: ValidatedRequest, method: bytes, target: bytes, content_type: bytes | None, framing: bytes | None
 ) -> bytes:
     """Return the head that endpoints get, up to the value of its last field, X-Deadline-Ms."""
     lines = [
