--- a/gateway/network/clients/upload.py
+++ b/gateway/network/clients/upload.py
@@ -27,7 +27,9 @@
 class BodySink(Protocol):
     """The endpoint's connection, to which a body is forwarded."""
 
-    blocked: bool
+    @property
+    def blocked(self) -> bool:
+        """Return whether the connection's write buffer is full."""
 
     def write_part(self, data: bytes) -> None:
         """Write a part of a request, not the last."""
--- a/tests/network/clients/test_request_validator.py
+++ b/tests/network/clients/test_request_validator.py
@@ -1,7 +1,7 @@
 """Tests of clients: request validator."""
 
 import pytest
-from support.fakes import settings
+from support.configurations import settings
 
 from gateway.errors import BadRequestError
 from gateway.interface.settings_reader import settings_from
