--- a/gateway/config.py
+++ b/gateway/config.py
@@ -114,14 +114,8 @@
     settings = top.object("settings")
     limits = settings.object("limits")
     own = settings_from(settings.value, "config.settings")
-    seed = top.text("seed")
-    try:
-        seed_number = int(seed, 16)
-    except ValueError as error:
-        raise SettingsError("config.seed", f"{seed!r} is no hex number") from error
-    peers = tuple(address_from(peer, "config.peers") for peer in top.words("peers"))
-    if peers and len(peers) != own.gateways:
-        raise SettingsError("config.peers", f"{len(peers)} for {own.gateways} gateways")
+    seed = _seed_from(top)
+    peers = _peers_from(top, own.gateways)
     control = top.text("control", environment.get("BALANCER_CONTROL", ""))
     peer_listen = top.text("peer_listen", "")
     peers_all = top.text("peers_all", "")
@@ -131,20 +125,39 @@
         discovery=address_from(
             top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"
         ),
-        seed=seed_number,
+        seed=seed,
         sockets=int(top.object("limits", {}).number("sockets", 1024.0)),
         settings=own,
         connect_timeout_ms=limits.number("dialTimeoutMs", 250.0),
         idle_ms=limits.number("connIdleMs", 15_000.0),
         known=endpoint_list_from(top.object("known", {"index": 0, "endpoints": []}).value, "config.known"),
-        peer_listen=address_from(peer_listen, "config.peer_listen") if peer_listen else None,
+        peer_listen=_optional_address_from(peer_listen, "config.peer_listen"),
         peers=peers,
-        peers_all=address_from(peers_all, "config.peers_all") if peers_all else None,
-        control=address_from(control, "config.control") if control else None,
+        peers_all=_optional_address_from(peers_all, "config.peers_all"),
+        control=_optional_address_from(control, "config.control"),
         private_folder=environment.get("TMPDIR", ""),
     )
 
 
+def _seed_from(top: JsonObject) -> int:
+    seed = top.text("seed")
+    try:
+        return int(seed, 16)
+    except ValueError as error:
+        raise SettingsError("config.seed", f"{seed!r} is no hex number") from error
+
+
+def _peers_from(top: JsonObject, gateways: int) -> tuple[Address, ...]:
+    peers = tuple(address_from(peer, "config.peers") for peer in top.words("peers"))
+    if peers and len(peers) != gateways:
+        raise SettingsError("config.peers", f"{len(peers)} for {gateways} gateways")
+    return peers
+
+
+def _optional_address_from(text: str, path: str) -> Address | None:
+    return address_from(text, path) if text else None
+
+
 def load(environment: Mapping[str, str]) -> Config:
     """Return the configuration in the file that BALANCER_CONFIG names.
 
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -56,16 +56,7 @@
         self.controller_loop = ControllerLoop(
             loop, self.clock, controller or Controller(config.settings, config.seed), self
         )
-        self.upstreams = UpstreamPool(
-            loop,
-            self.clock,
-            self.timers,
-            self.metrics,
-            idle_ms=config.idle_ms,
-            connect_timeout_ms=config.connect_timeout_ms,
-            max_connections=max_upstream_connections(config.sockets),
-            report_fields=config.settings.report_fields,
-        )
+        self.upstreams = self._new_upstream_pool()
         self.gossip_socket = GossipSocket(config, self.on_gossip)
         self.attempts = AttemptTable()
         self.requests = RequestTable(
@@ -75,13 +66,28 @@
             self.clock, self.upstreams, self.requests, self.attempts, self.controller_loop
         )
         self.connections = ConnectionLimiter(shareable_descriptors(config.sockets))
-        self.frontend = ClientFrontend(
-            loop,
+        self.frontend = self._new_frontend()
+
+    def _new_upstream_pool(self) -> UpstreamPool:
+        return UpstreamPool(
+            self.loop,
+            self.clock,
+            self.timers,
+            self.metrics,
+            idle_ms=self.config.idle_ms,
+            connect_timeout_ms=self.config.connect_timeout_ms,
+            max_connections=max_upstream_connections(self.config.sockets),
+            report_fields=self.config.settings.report_fields,
+        )
+
+    def _new_frontend(self) -> ClientFrontend:
+        return ClientFrontend(
+            self.loop,
             self.clock,
             self.timers,
             role=self.role,
             connections=self.connections,
-            request_parser=RequestParser(config.settings),
+            request_parser=RequestParser(self.config.settings),
             requests=self.requests,
             attempt_runner=self.attempt_runner,
             events=self.controller_loop,
--- a/gateway/network/hot_restart/packet_link.py
+++ b/gateway/network/hot_restart/packet_link.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """One packet; whoever holds it owns the descriptors."""
+    """One packet; its holder owns the descriptors."""
 
     kind: PacketKind
     payload: bytes = b""
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -55,7 +55,7 @@
         self._gateway.loop.add_reader(sock, self._accept, sock)
 
     def stop_listening(self) -> None:
-        """Accept no successor; the file itself stays for the next process to replace."""
+        """Accept no successor; the file remains until the next process replaces it."""
         if self._socket is not None:
             self._gateway.loop.remove_reader(self._socket)
             self._socket.close()
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -122,7 +122,7 @@
         self._hot_restart.close_links()
         self._admin.close()
         # The event loop removes its signal handlers when it closes; a signal after that would end the process
-        # with a wrong exit code. Once the executor's thread has ended, this mask holds for the whole process.
+        # with a wrong exit code. Once the executor's thread has ended, this mask covers the process.
         await self._loop.shutdown_default_executor()
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         log.info("gateway %s: shutdown complete", self._config.name)
