--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -14,9 +14,27 @@
 from typing import NamedTuple
 
 _VERSION = 2  # version of the layout
-_HEADER_LAYOUT = struct.Struct("<BHHB")  # layout of _Header
-_ENTRY_LAYOUT = struct.Struct("<BIHHHB")  # layout of _EntryFields
-_OBSERVATION_LAYOUT = struct.Struct("<HB")  # layout of _ObservationFields
+_HEADER_LAYOUT = struct.Struct(
+    "<"
+    "B"  # version
+    "H"  # incarnation
+    "H"  # target concurrency, a fixed-point number
+    "B"  # number of entries
+)
+_ENTRY_LAYOUT = struct.Struct(
+    "<"
+    "B"  # kind
+    "I"  # customer tag
+    "H"  # lease id
+    "H"  # units, a fixed-point number
+    "H"  # demand per second, a fixed-point number
+    "B"  # class index and plan index
+)
+_OBSERVATION_LAYOUT = struct.Struct(
+    "<"
+    "H"  # endpoint tag
+    "B"  # class index and grade
+)
 
 MAX_BYTES = 256  # size limit of a datagram, in bytes
 MAX_OBSERVATIONS = 4  # observations in a datagram
@@ -88,27 +106,6 @@
     observations: tuple[EndpointObservation, ...]
 
 
-class _Header(NamedTuple):
-    version: int
-    incarnation: int
-    target_concurrency: int  # fixed-point number
-    entry_count: int
-
-
-class _EntryFields(NamedTuple):
-    kind: int
-    customer_tag: int
-    lease_id: int
-    units: int  # fixed-point number
-    demand_per_s: int  # fixed-point number
-    indexes: int  # class index and plan index
-
-
-class _ObservationFields(NamedTuple):
-    endpoint_tag: int
-    index_and_grade: int  # class index and grade
-
-
 def observe(endpoint_id: str, class_index: int, latency_ratio: float) -> EndpointObservation:
     """Return the observation of an attempt: its latency in expected latencies, or inf for a failure."""
     grade = _FAILED_GRADE
@@ -152,35 +149,30 @@
         for observation in observations[:MAX_OBSERVATIONS]
         if observation.class_index < MAX_INDEXES
     ]
-    header = _Header(
-        version=_VERSION,
-        incarnation=incarnation & _MAX_UINT16,
-        target_concurrency=_fixed_point(target_concurrency, _CONCURRENCY_SCALE),
-        entry_count=len(sent_entries),
-    )
+    concurrency = _fixed_point(target_concurrency, _CONCURRENCY_SCALE)
+    header = _HEADER_LAYOUT.pack(_VERSION, incarnation & _MAX_UINT16, concurrency, len(sent_entries))
     packed_entries = map(_pack_entry, sent_entries)
     packed_observations = map(_pack_observation, sent_observations)
-    return b"".join([_HEADER_LAYOUT.pack(*header), *packed_entries, *packed_observations])
+    return b"".join([header, *packed_entries, *packed_observations])
 
 
 def decode(data: bytes) -> GossipMessage | None:
     """Return the message in a datagram, or None where it is invalid."""
     if len(data) < _HEADER_LAYOUT.size or len(data) > MAX_BYTES or data[0] != _VERSION:
         return None
-    header = _Header._make(_HEADER_LAYOUT.unpack_from(data))
-    end_of_entries = _HEADER_LAYOUT.size + header.entry_count * _ENTRY_LAYOUT.size
+    _, incarnation, concurrency, entry_count = _HEADER_LAYOUT.unpack_from(data)
+    end_of_entries = _HEADER_LAYOUT.size + entry_count * _ENTRY_LAYOUT.size
     if len(data) < end_of_entries or (len(data) - end_of_entries) % _OBSERVATION_LAYOUT.size:
         return None
-    entry_bytes = data[_HEADER_LAYOUT.size : end_of_entries]
-    entry_fields = [_EntryFields._make(row) for row in _ENTRY_LAYOUT.iter_unpack(entry_bytes)]
-    if any(fields.kind not in _KINDS for fields in entry_fields):
+    entry_rows = list(_ENTRY_LAYOUT.iter_unpack(data[_HEADER_LAYOUT.size : end_of_entries]))
+    if any(row[0] not in _KINDS for row in entry_rows):
         return None
     observation_rows = _OBSERVATION_LAYOUT.iter_unpack(data[end_of_entries:])
     return GossipMessage(
-        header.incarnation,
-        header.target_concurrency / _CONCURRENCY_SCALE,
-        tuple(_entry_from(fields) for fields in entry_fields),
-        tuple(_observation_from(_ObservationFields._make(row)) for row in observation_rows),
+        incarnation,
+        concurrency / _CONCURRENCY_SCALE,
+        tuple(_entry_from(*row) for row in entry_rows),
+        tuple(_observation_from(*row) for row in observation_rows),
     )
 
 
@@ -193,40 +185,34 @@
 
 
 def _pack_entry(entry: QuotaEntry) -> bytes:
-    fields = _EntryFields(
-        kind=entry.kind,
-        customer_tag=entry.customer_tag,
-        lease_id=entry.lease_id & _MAX_UINT16,
-        units=_fixed_point(entry.units, _UNITS_SCALE),
-        demand_per_s=_fixed_point(entry.demand_per_s, _UNITS_SCALE),
-        indexes=entry.class_index << _NIBBLE_BITS | entry.plan_index,
+    return _ENTRY_LAYOUT.pack(
+        entry.kind,
+        entry.customer_tag,
+        entry.lease_id & _MAX_UINT16,
+        _fixed_point(entry.units, _UNITS_SCALE),
+        _fixed_point(entry.demand_per_s, _UNITS_SCALE),
+        entry.class_index << _NIBBLE_BITS | entry.plan_index,
     )
-    return _ENTRY_LAYOUT.pack(*fields)
 
 
 def _pack_observation(observation: EndpointObservation) -> bytes:
-    fields = _ObservationFields(
-        endpoint_tag=observation.endpoint_tag,
-        index_and_grade=observation.class_index << _NIBBLE_BITS | observation.grade,
-    )
-    return _OBSERVATION_LAYOUT.pack(*fields)
+    index_and_grade = observation.class_index << _NIBBLE_BITS | observation.grade
+    return _OBSERVATION_LAYOUT.pack(observation.endpoint_tag, index_and_grade)
 
 
-def _entry_from(fields: _EntryFields) -> QuotaEntry:
+def _entry_from(
+    kind: int, tag: int, lease_id: int, units: int, demand_per_s: int, indexes: int
+) -> QuotaEntry:
     return QuotaEntry(
-        kind=EntryKind(fields.kind),
-        customer_tag=fields.customer_tag,
-        lease_id=fields.lease_id,
-        units=fields.units / _UNITS_SCALE,
-        demand_per_s=fields.demand_per_s / _UNITS_SCALE,
-        class_index=fields.indexes >> _NIBBLE_BITS,
-        plan_index=fields.indexes & _NIBBLE_MASK,
+        EntryKind(kind),
+        tag,
+        lease_id,
+        units / _UNITS_SCALE,
+        demand_per_s / _UNITS_SCALE,
+        indexes >> _NIBBLE_BITS,
+        indexes & _NIBBLE_MASK,
     )
 
 
-def _observation_from(fields: _ObservationFields) -> EndpointObservation:
-    return EndpointObservation(
-        endpoint_tag=fields.endpoint_tag,
-        class_index=fields.index_and_grade >> _NIBBLE_BITS,
-        grade=fields.index_and_grade & _NIBBLE_MASK,
-    )
+def _observation_from(tag: int, index_and_grade: int) -> EndpointObservation:
+    return EndpointObservation(tag, index_and_grade >> _NIBBLE_BITS, index_and_grade & _NIBBLE_MASK)
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -48,7 +48,8 @@
                 self._on_event(event)
             except Exception as error:  # the caller logs it
                 self.errors.append(error)
-        self._hedge_withdrawn()
+        if self._withdrawn and self.settings.may_hedge:
+            self._hedge_withdrawn()
         while timer := self.context.timers.pop_expired(now_ms):
             self._on_timer(timer)
         self.flow.dispatcher.dispatch()
@@ -119,8 +120,7 @@
 
     def _hedge_withdrawn(self) -> None:
         """Hedge the requests in flight at endpoints that stopped being ready in this turn."""
-        if self._withdrawn and self.settings.may_hedge:
-            self.flow.attempts.hedge_withdrawn(list(self.flow.open.values()), self._withdrawn)
+        self.flow.attempts.hedge_withdrawn(list(self.flow.open.values()), self._withdrawn)
 
     def _on_gossip(self, event: events.GossipReceived) -> None:
         """Handle a datagram; an unreadable one, or one of an unknown sender, has no effect."""
--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -43,13 +43,13 @@
     def latency_factor(self, endpoint: EndpointRecord) -> float:
         """Return an endpoint's latency relative to the mean of the fleet."""
         age_ms = self._turn.now_ms - endpoint.observed_at_ms
-        return 1 + (endpoint.latency_factor - 1) * decay(age_ms, LATENCY_MEMORY_MS)
+        return 1 + (endpoint.latency_factor - 1) * math.exp(-age_ms / LATENCY_MEMORY_MS)
 
     def failure_rate(self, endpoint: EndpointRecord, class_name: str) -> float:
         """Return the failure rate of a class at an endpoint, drawn towards the rate of all classes."""
         if not endpoint.failures:
             return 0.0
-        remaining = decay(self._turn.now_ms - endpoint.observed_at_ms, FAILURE_MEMORY_MS)
+        remaining = math.exp((endpoint.observed_at_ms - self._turn.now_ms) / FAILURE_MEMORY_MS)
         all_failures = remaining * sum(endpoint.failures.values())
         overall_rate = all_failures / (remaining * sum(endpoint.outcomes.values()) + PRIOR_OUTCOMES)
         class_failures = remaining * endpoint.failures.get(class_name, 0.0)
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -122,23 +122,19 @@
     def _cheapest(
         self, candidates: list[EndpointRecord], request_class: RequestClass
     ) -> EndpointRecord | None:
+        """Return the endpoint with the least cost: its expected latency and risk of failure, with jitter."""
         best = None
         best_cost = math.inf
         is_non_idempotent = request_class.idempotency is Idempotency.NON_IDEMPOTENT
         failure_cost = (NON_IDEMPOTENT_COST_FACTOR if is_non_idempotent else 1) * FAILURE_COST
         for endpoint in candidates:
-            cost = self._cost(endpoint, request_class.name, failure_cost)
+            age = min(MAX_REPORT_AGE, (self._turn.now_ms - endpoint.reported_at_ms) / REPORT_MEMORY_MS)
+            load = 1 + endpoint.in_flight + endpoint.peer_load * math.exp(-age)
+            cost = load * self.outliers.latency_factor(endpoint) / max(MIN_WEIGHT, endpoint.entry.weight)
+            cost *= 1 + failure_cost * self.outliers.failure_rate(endpoint, request_class.name) ** 2
+            cost *= 1.0 if endpoint.entry.zone == self._settings.zone else OTHER_ZONE_COST_FACTOR
+            cost *= self._rng.uniform(1.0, MAX_COST_JITTER)
             if cost < best_cost:
                 best = endpoint
                 best_cost = cost
         return best
-
-    def _cost(self, endpoint: EndpointRecord, class_name: str, failure_cost: float) -> float:
-        """Return the expected latency of an attempt, raised by the risk of a failure, with random jitter."""
-        age = min(MAX_REPORT_AGE, (self._turn.now_ms - endpoint.reported_at_ms) / REPORT_MEMORY_MS)
-        load = 1 + endpoint.in_flight + endpoint.peer_load * math.exp(-age)
-        cost = load * self.outliers.latency_factor(endpoint) / max(MIN_WEIGHT, endpoint.entry.weight)
-        cost *= 1 + failure_cost * self.outliers.failure_rate(endpoint, class_name) ** 2
-        cost *= 1.0 if endpoint.entry.zone == self._settings.zone else OTHER_ZONE_COST_FACTOR
-        cost *= self._rng.uniform(1.0, MAX_COST_JITTER)
-        return cost
--- a/gateway/policy/gossip/outbox.py
+++ b/gateway/policy/gossip/outbox.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from typing import NamedTuple
 
 from gateway.gossip.codec import MAX_ENTRIES, QuotaEntry
@@ -15,32 +14,20 @@
     entries: list[QuotaEntry]
 
 
-class EntryOutbox:
-    """Queues of entries by gateway."""
-
-    def __init__(self) -> None:
-        """Start with no entry."""
-        self._queues: dict[int, list[QuotaEntry]] = {}
-
-    def __bool__(self) -> bool:
-        """Return whether any entry is queued."""
-        return bool(self._queues)
-
-    def __iter__(self) -> Iterator[int]:
-        """Iterate over the gateways for which entries are queued."""
-        return iter(self._queues)
+class EntryOutbox(dict[int, list[QuotaEntry]]):
+    """Queues of entries by gateway; a gateway without entries has no queue."""
 
     def add(self, gateway: int, entry: QuotaEntry) -> None:
         """Queue an entry for the next message to a gateway."""
-        self._queues.setdefault(gateway, []).append(entry)
+        self.setdefault(gateway, []).append(entry)
 
     def take(self, gateways: list[int]) -> list[OutgoingMessage]:
         """Remove and return one message for each of these gateways.
 
         Entries beyond the size of a message stay queued. Raises KeyError for a gateway without entries.
         """
-        queues = [(gateway, self._queues.pop(gateway)) for gateway in gateways]
+        queues = [(gateway, self.pop(gateway)) for gateway in gateways]
         for gateway, entries in queues:
             if len(entries) > MAX_ENTRIES:
-                self._queues[gateway] = entries[MAX_ENTRIES:]
+                self[gateway] = entries[MAX_ENTRIES:]
         return [OutgoingMessage(gateway, entries[:MAX_ENTRIES]) for gateway, entries in queues]
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -72,7 +72,7 @@
 
     def pop_expired(self, now_ms: float) -> Timer | None:
         """Remove and return the first timer that has expired at `now_ms`, if there is one."""
-        if not self._heap or self.first_at_ms > now_ms + CLOCK_RESOLUTION_MS:
+        if not self._heap or self._heap[0][0] > now_ms + CLOCK_RESOLUTION_MS:
             return None
         _, _, kind, subject = heapq.heappop(self._heap)
         return Timer(kind, subject)
@@ -89,7 +89,7 @@
         withdrawn, and most timers concern requests that end before the timer expires.
         """
         self._drop_stale_head(open_requests)
-        first_at_ms = self.first_at_ms
+        first_at_ms = self._heap[0][0]
         if first_at_ms >= self._wake_up_at_ms:
             return None
         self._wake_up_at_ms = first_at_ms
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -27,6 +27,7 @@
 from gateway.simulator.translation import (
     endpoint_from,
     event_from,
+    is_event,
     line_for,
     update_from,
     update_mode,
@@ -98,23 +99,24 @@
         """Read the messages of one batch; return False where the input ends before the batch."""
         instance: int | None = None
         for message in self._messages:
-            name = message.name
-            if name is MessageName.BATCH_END:
+            if instance is not None and is_event(message):
+                message.check_fields()
+                batch.add(instance, event_from(message))
+            elif message.name is MessageName.BATCH_END:
                 return True
-            if name is None or name in _OUT_OF_PLACE_IN_BATCH:
+            elif message.name is None or message.name in _OUT_OF_PLACE_IN_BATCH:
                 self._ignore(message)
-                continue
-            message.check_fields()
-            if name is MessageName.SELECT_INSTANCE:
-                instance = message.read("gatekeeper", fields.natural)
-            elif instance is None:
-                raise WireError(f"{message.wire_name}: no SWITCH_TO before it")
             else:
-                self._on_message(batch, instance, message)
+                message.check_fields()
+                instance = self._on_control(batch, instance, message)
         return False
 
-    def _on_message(self, batch: Batch, instance: int, message: Message) -> None:
-        """Handle one message for an instance."""
+    def _on_control(self, batch: Batch, instance: int | None, message: Message) -> int:
+        """Handle a message that is no event, and return the instance that is selected after it."""
+        if message.name is MessageName.SELECT_INSTANCE:
+            return message.read("gatekeeper", fields.natural)
+        if instance is None:
+            raise WireError(f"{message.wire_name}: no SWITCH_TO before it")
         match message.name:
             case MessageName.STOP_INSTANCE:
                 self._controllers.pop(instance, None)
@@ -124,8 +126,7 @@
                 batch.restart(instance)
             case MessageName.ENDPOINT_UPDATE:
                 batch.add(instance, self._read_update(message))
-            case _:
-                batch.add(instance, event_from(message))
+        return instance
 
     def _start(self, instance: int, message: Message) -> None:
         """Create the controller of an instance."""
--- a/gateway/simulator/messages.py
+++ b/gateway/simulator/messages.py
@@ -77,9 +77,10 @@
     MessageName.COUNTER_REPLIED: ("nowAt", "result", "rttMs", "counter"),
 }
 
-_POSITIONS = {
+_POSITIONS: dict[str, dict[str, int]] = {
     name: {field: position for position, field in enumerate(fields)} for name, fields in _FIELDS.items()
 }
+_NO_FIELDS: dict[str, int] = {}
 
 _LAST_FIELD_MAY_HAVE_TABS = (MessageName.START_INSTANCE,)
 
@@ -93,11 +94,13 @@
         """Split a line; `name` is None for an unknown message, `wire_name` is the name as received."""
         self.wire_name, *self._texts = line.rstrip("\n").split("\t")
         self.name = _NAMES.get(self.wire_name)
-        self._positions = {} if self.name is None else _POSITIONS[self.name]
+        self._positions = _POSITIONS.get(self.wire_name, _NO_FIELDS)
 
     def check_fields(self) -> None:
         """Raise WireError where the number of fields is wrong; has to be called before `read`."""
         count = len(self._positions)
+        if len(self._texts) == count:
+            return
         if self.name in _LAST_FIELD_MAY_HAVE_TABS and len(self._texts) > count:
             self._texts[count - 1 :] = ["\t".join(self._texts[count - 1 :])]
         if len(self._texts) != count:
--- a/gateway/simulator/translation.py
+++ b/gateway/simulator/translation.py
@@ -15,8 +15,13 @@
 _MODES = (*_SNAPSHOT_MODES, _FAILED_MODE, _CHANGES_MODE)
 
 
+def is_event(message: Message) -> bool:
+    """Return whether a message stands for an event of an instance."""
+    return message.wire_name in _EVENTS
+
+
 def event_from(message: Message) -> events.Event:
-    """Return the event of a message; raises WireError for an invalid field."""
+    """Return the event of a message for which `is_event` holds; raises WireError for an invalid field."""
     return _EVENTS[message.wire_name](message)
 
 
