--- a/tests/compatibility/test_admin.py
+++ b/tests/compatibility/test_admin.py
@@ -8,6 +8,8 @@
 from support.recordings import check_json_recording, raw_response
 from support.running_gateway import RunningGateway
 
+from gateway.network.process_role import ServicePhase
+
 CALLS = (
     b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n",
     b"GET /_vars HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -29,6 +31,6 @@
             writer.write(http_response())
             await client.next_response()
             replies = [await raw_response(running_gateway.admin_port, data) for data in CALLS]
-            running_gateway.gateway.ready = False
+            running_gateway.gateway.role.phase = ServicePhase.STARTING
             replies.append(await raw_response(running_gateway.admin_port, CALLS[0]))
             check_json_recording("operators.json", replies)
--- a/tests/compatibility/test_clients.py
+++ b/tests/compatibility/test_clients.py
@@ -9,6 +9,7 @@
 
 from gateway.interface.actions import Fail, Reject
 from gateway.interface.events import RequestArrived
+from gateway.network.process_role import ServicePhase
 
 LOOK_REQUEST = {"path": "/look"}
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
@@ -70,7 +71,7 @@
     requests = [http_request(extra=extra) for extra in ("", "", "", "Connection: close\r\n")]
     responses = [await raw_response(port, request) for request in requests]
     responses.append(await raw_response(port, READINESS_REQUEST))
-    gateway.ready = False
+    gateway.role.phase = ServicePhase.STARTING
     responses.append(await raw_response(port, READINESS_REQUEST))
     check_json_recording("final-answers.json", responses)
 
--- a/tests/compatibility/test_simulated_day.py
+++ b/tests/compatibility/test_simulated_day.py
@@ -152,6 +152,6 @@
 async def test_wake_up_falls_on_the_grid_of_ticks(after_ms, controller, gateway):
     controller.pending_actions = [SetTimer(after_ms, "agenda")]
     began_ms = gateway.clock.now()
-    gateway.enqueue(TimerFired("begin"))
+    gateway.controller_loop.enqueue(TimerFired("begin"))
     await wait_until(lambda: TimerFired("agenda") in controller.events)
     assert gateway.clock.now() - began_ms >= after_ms
--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -44,7 +44,7 @@
     assert (await client.send(data).next_response()).status == status and await client.is_closed_by_peer()
     writer.write(http_response())
     assert (await other.next_response()).status == 200
-    assert len(gateway.open) == 0 and endpoint.requests.empty()
+    assert len(gateway.requests.open) == 0 and endpoint.requests.empty()
 
 
 async def test_id_of_an_open_or_recent_request_is_rejected(endpoint, gateway, running_gateway, client):
@@ -58,9 +58,9 @@
     assert (await client.next_response()).body == b"first"
     assert (await other.send(http_request("00000000000000aa")).next_response()).status == 409
     assert endpoint.requests.empty()
-    gateway._forget_ids()
-    gateway._forget_ids()
-    assert not gateway._ids.to_json()
+    gateway.requests.rotate_ids()
+    gateway.requests.rotate_ids()
+    assert not gateway.requests.ids.to_json()
 
 
 MALFORMED = {
@@ -97,15 +97,15 @@
 
 async def test_repeated_bad_requests_are_read_with_backoff(gateway, client):
     """Each rejected request doubles the pause before the next is read; its error is sent at once."""
-    gateway.timers = Timers(asyncio.get_running_loop(), gateway.clock)
-    call_at = gateway.timers.at
+    gateway.frontend.timers = Timers(asyncio.get_running_loop(), gateway.clock)
+    call_at = gateway.frontend.timers.at
     pauses_ms = []
 
     def call_now(at_ms, callback):
         pauses_ms.append(round(at_ms - gateway.clock.now()))
         call_at(0.0, callback)
 
-    gateway.timers.at = call_now
+    gateway.frontend.timers.at = call_now
     for _ in range(7):
         assert (await client.send(http_request(path="/none")).next_response()).status == 404
     assert pauses_ms == [50, 100, 200, 400, 800, 1000, 1000]
--- a/tests/network/clients/test_connection.py
+++ b/tests/network/clients/test_connection.py
@@ -6,6 +6,8 @@
 
 from support.http_messages import http_request, http_response
 
+from gateway.network.process_role import ServicePhase
+
 
 async def test_connection_close_of_the_client_is_honoured(endpoint, client):
     client.send(http_request(extra="Connection: close\r\n"))
@@ -29,7 +31,7 @@
     client.send(http_request())
     _, writer = await endpoint.next_request()
     client.send(http_request())
-    (request,) = gateway.open.values()
+    (request,) = gateway.requests.open.values()
     while not request.client.pipelined:
         await asyncio.sleep(0)
     writer.write(http_response(body=b"first"))
@@ -66,7 +68,7 @@
 
 async def test_readiness_request_succeeds_only_when_ready(gateway, client):
     up = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
-    gateway.ready = False
+    gateway.role.phase = ServicePhase.STARTING
     assert (await client.send(up).next_response()).status == 503
-    gateway.ready = True
+    gateway.role.phase = ServicePhase.SERVING
     assert (await client.send(up).next_response()).status == 200
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -25,7 +25,7 @@
         limiter.make_room()
         if closed is not None:
             assert await closed.is_closed_by_peer() and len(limiter) == max_kept
-    assert len(limiter) == 1 and len(gateway.open) == 1
+    assert len(limiter) == 1 and len(gateway.requests.open) == 1
 
 
 def send_without_reading(client, connection):
@@ -46,7 +46,7 @@
     send_without_reading(client, connection)
     if close == "at shutdown":
         gateway.drain()
-        gateway.close_idle()
+        gateway.frontend.close_idle()
     else:
         gateway.connections.max_kept = 0
         gateway.connections.make_room()
@@ -71,7 +71,7 @@
         received.cancel()
         late = (await running_gateway.connect()).send(http_request())
     closed.cancel()
-    assert len(limiter) <= limiter.max_admitted and len(gateway.open) == 1
+    assert len(limiter) <= limiter.max_admitted and len(gateway.requests.open) == 1
     for other in others:
         other.close()
 
--- a/tests/network/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -30,7 +30,7 @@
     assert (arrival.class_name, arrival.plan_name, arrival.spread) == ("book", "basic", 2)
     outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.OK and outcome.final and outcome.load == (0.5, 7.0)
-    assert not gateway.open and not gateway.attempts
+    assert not gateway.requests.open and not gateway.attempts.in_flight
 
 
 async def test_first_response_of_two_hedged_attempts_is_the_final_answer(
@@ -40,7 +40,7 @@
     _, first = await endpoint.next_request()
     arrival = await controller.next_event(RequestArrived)
     controller.pending_actions = [SendAttempt(arrival.id, "w1", 9000.0)]
-    gateway.enqueue(TimerFired("hedge"))
+    gateway.controller_loop.enqueue(TimerFired("hedge"))
     _, second = await endpoint.next_request()
     second.write(http_response(body=b"second"))
     assert (await client.next_response()).body == b"second"
@@ -55,7 +55,7 @@
 
 async def test_send_for_an_ended_request_ends_as_not_sent(endpoint, controller, gateway, client):
     controller.pending_actions = [SendAttempt(77, "w1", 100.0)]
-    gateway.enqueue(TimerFired("late"))
+    gateway.controller_loop.enqueue(TimerFired("late"))
     outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.NOT_SENT
     assert endpoint.connection_count == 0
@@ -74,7 +74,7 @@
     gateway.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
     gateway.timers = type("Kept", (), {"at": staticmethod(lambda at_ms, call: times.append(at_ms))})
     for after_ms in (0.0, 0.5, 4.0, 4.5):
-        gateway._wake(SetTimer(after_ms, "agenda"))
+        gateway.set_timer(SetTimer(after_ms, "agenda"))
     assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
 
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -79,13 +79,13 @@
     _, writer = await endpoint.accepted.get()
     writer.transport.pause_reading()
     (connection,) = gateway.connections.all
-    (attempt,) = gateway.attempts.values()
+    (attempt,) = gateway.attempts.in_flight.values()
     await wait_until(lambda: attempt.connection and attempt.connection.writer.blocked and connection.held_ms)
     assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
     gateway.connections.sweep(gateway.clock.now() + 60_000, False)
     assert not connection.ending  # the endpoint causes the delay
     gateway.upstreams._sweep()
-    assert gateway.attempts and attempt.connection._buffered_bytes
+    assert gateway.attempts.in_flight and attempt.connection._buffered_bytes
     monkeypatch.setattr(upstream_connection, "UPLOAD_STALL_TIMEOUT_MS", -1.0)
     gateway.upstreams._sweep()
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
@@ -103,7 +103,7 @@
     assert (await client.next_response()).status == 503
     client.send(bytes(LARGE - 1000) + http_request())
     assert (await client.next_response()).status == 503
-    assert not gateway.open
+    assert not gateway.requests.open
 
 
 async def test_disconnect_during_a_body_ends_the_attempt(endpoint, controller, gateway, client):
@@ -114,7 +114,7 @@
     assert outcome.result is AttemptResult.NOT_SENT  # the endpoint has not failed
     with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
         await reader.readexactly(LARGE)
-    assert not gateway.open and not gateway.attempts
+    assert not gateway.requests.open and not gateway.attempts.in_flight
 
 
 @pytest.mark.scripted_controller(endpoint=None)
@@ -122,7 +122,7 @@
     """The end of the connection lies behind bytes that are not read."""
     client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED))
     arrival = await controller.next_event(RequestArrived)
-    await wait_until(lambda: gateway.open[arrival.id].client.held_ms)
+    await wait_until(lambda: gateway.requests.open[arrival.id].client.held_ms)
     client.close()
     async with asyncio.timeout(5):
         assert (await controller.next_event(ClientDisconnected)).id == arrival.id
@@ -136,7 +136,7 @@
     await controller.next_event(BodyReleased)
     await endpoint.next_request_head()
     controller.pending_actions = [SendAttempt(arrival.id, "w1", 9000.0)]
-    gateway.enqueue(TimerFired("hedge"))
+    gateway.controller_loop.enqueue(TimerFired("hedge"))
     outcome = await controller.next_event(AttemptEnded)
     assert (outcome.attempt, outcome.result) == (1, AttemptResult.NOT_SENT) and endpoint.accepted.empty()
 
--- a/tests/support/running_gateway.py
+++ b/tests/support/running_gateway.py
@@ -24,13 +24,13 @@
     async def __aenter__(self):
         """Start to serve clients and admin calls."""
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: ClientConnection(self.gateway), HOST, 0
+            lambda: ClientConnection(self.gateway.frontend), HOST, 0
         )
         self.port = self.server.sockets[0].getsockname()[1]
         self.admin = AdminEndpoint(self.gateway)
         await self.admin.open((HOST, 0))
         self.admin_port = self.admin._server.sockets[0].getsockname()[1]
-        self.gateway.ready = True
+        self.gateway.start_serving()
         return self
 
     async def __aexit__(self, *_):
