--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -7,9 +7,9 @@
 from gateway.interface.events import BodyReleased, RequestArrived, RequestCompleted
 from gateway.network.attempt_runner import AttemptRunner
 from gateway.network.clients.connection import ClientConnection
-from gateway.network.clients.connection_limiter import SWEEP_MS, ConnectionLimiter
+from gateway.network.clients.connection_limiter import SWEEP_INTERVAL_MS, ConnectionLimiter
 from gateway.network.clients.received_request import ReceivedRequest
-from gateway.network.clients.request_parser import RequestParser
+from gateway.network.clients.request_validator import RequestValidator
 from gateway.network.clock import Clock, Timers
 from gateway.network.controller_loop import EventSink
 from gateway.network.open_request import OpenRequest
@@ -31,7 +31,7 @@
         *,
         role: ProcessRole,
         connections: ConnectionLimiter,
-        request_parser: RequestParser,
+        request_validator: RequestValidator,
         requests: RequestTable,
         attempt_runner: AttemptRunner,
         events: EventSink,
@@ -42,12 +42,12 @@
         self.connections = connections
         self._loop = loop
         self._role = role
-        self._request_parser = request_parser
+        self._request_validator = request_validator
         self._requests = requests
         self._attempt_runner = attempt_runner
         self._events = events
         self._is_eviction_scheduled = False
-        timers.at(clock.now() + SWEEP_MS, self._sweep)
+        timers.at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     @property
     def ready(self) -> bool:
@@ -63,8 +63,8 @@
 
     def on_client_connected(self, client: ClientConnection) -> None:
         """Add a new connection, or one that the predecessor has handed over; close it above the limit."""
-        if client.moved:
-            self.connections.add_moved(client, self.clock.now())
+        if client.is_transferred:
+            self.connections.add_transferred(client, self.clock.now())
         elif not self.connections.add(client, self.clock.now()):
             client.drop()
         elif len(self.connections) > self.connections.max_kept and not self._is_eviction_scheduled:
@@ -77,7 +77,7 @@
 
     def on_client_idle(self, client: ClientConnection) -> None:
         """Note that a connection is idle after a response; hand it over if a successor serves."""
-        self.connections.on_answered(client, self.clock.now())
+        self.connections.on_idle(client, self.clock.now())
         if self._role.is_retired:
             self._loop.call_soon(self.hand_over_idle)
 
@@ -93,7 +93,7 @@
         if successor is None:
             return
         for client in list(self.connections.all):
-            if client.is_movable():
+            if client.is_transferable():
                 successor.hand_over(client)
 
     def close_idle(self) -> None:
@@ -103,11 +103,11 @@
 
     def _evict(self) -> None:
         self._is_eviction_scheduled = False
-        self.connections.make_room()
+        self.connections.evict_excess()
 
     def _sweep(self) -> None:
         now_ms = self.clock.now()
-        self.timers.at(now_ms + SWEEP_MS, self._sweep)
+        self.timers.at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
         self.hand_over_idle()
         self._requests.drop_disconnected_uploads()
         self.connections.sweep(now_ms, self.draining)
@@ -120,7 +120,7 @@
         Raises BadRequestError.
         """
         is_complete = received.upload is None
-        parsed = self._request_parser.read(
+        parsed = self._request_validator.validate(
             received.method, received.target, received.headers, received.has_body
         )
         request = self._requests.add(client, parsed, received)
--- a/gateway/network/descriptor_limits.py
+++ b/gateway/network/descriptor_limits.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gateway.network.clients.connection_limiter import ADMITTED_PART
+from gateway.network.clients.connection_limiter import ADMITTED_FRACTION
 
 # Upstream fraction: share of the shareable descriptors that connections to endpoints may use.
 UPSTREAM_FRACTION = 0.42
@@ -14,7 +14,7 @@
 def shareable_descriptors(descriptors: int) -> int:
     """Return the number of which clients and endpoints get fractions, so that the reserve remains."""
     available = descriptors - RESERVED_DESCRIPTORS
-    return min(descriptors, int(available / (ADMITTED_PART + UPSTREAM_FRACTION)))
+    return min(descriptors, int(available / (ADMITTED_FRACTION + UPSTREAM_FRACTION)))
 
 
 def max_upstream_connections(descriptors: int) -> int:
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -10,7 +10,7 @@
 from gateway.network.admin.metrics import FinalStatus, Metrics
 from gateway.network.attempt_table import AttemptTable
 from gateway.network.clients.received_request import ReceivedRequest
-from gateway.network.clients.request_parser import ParsedRequest
+from gateway.network.clients.request_validator import ValidatedRequest
 from gateway.network.clock import Clock, Timers
 from gateway.network.controller_loop import EventSink
 from gateway.network.open_request import ClientChannel, OpenRequest, upstream_head
@@ -51,7 +51,7 @@
 
     # -- acceptance
 
-    def add(self, client: ClientChannel, parsed: ParsedRequest, received: ReceivedRequest) -> OpenRequest:
+    def add(self, client: ClientChannel, parsed: ValidatedRequest, received: ReceivedRequest) -> OpenRequest:
         """Open a request; from now on it is owed one final answer.
 
         Raises BadRequestError if its id is in use: a second request of that id would be a duplicate.
@@ -113,7 +113,7 @@
         if not self._close(request):
             return False
         self._metrics.on_final_answer(request.class_name, outcome)
-        request.client.answer(status, body, content_type, retry_after_ms)
+        request.client.send_response(status, body, content_type, retry_after_ms)
         return True
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
--- a/tests/network/test_http_forms.py
+++ b/tests/network/test_http_forms.py
@@ -3,7 +3,7 @@
 import pytest
 from support.http_messages import http_request, http_response
 
-from gateway.network.clients.connection import MAX_HEAD
+from gateway.network.clients.request_reader import MAX_HEAD_BYTES
 
 
 @pytest.mark.parametrize("blank", [" ", "   "])
@@ -18,7 +18,7 @@
 
 
 async def test_rejected_large_message_gets_exactly_one_response(endpoint, client):
-    client.send(http_request(path="/nothing", body=bytes(2 * MAX_HEAD)))
+    client.send(http_request(path="/nothing", body=bytes(2 * MAX_HEAD_BYTES)))
     assert (await client.next_response()).status == 404
     client.send(http_request())
     _, writer = await endpoint.next_request()
