--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -6,9 +6,9 @@
 
 from gateway.interface.events import BodyReleased, RequestArrived, RequestCompleted
 from gateway.network.attempt_runner import AttemptRunner
-from gateway.network.clients.connection import ClientConnection
 from gateway.network.clients.connection_limiter import SWEEP_INTERVAL_MS, ConnectionLimiter
 from gateway.network.clients.received_request import ReceivedRequest
+from gateway.network.clients.request_handler import HandledConnection
 from gateway.network.clients.request_validator import RequestValidator
 from gateway.network.clock import Clock, Timers
 from gateway.network.controller_loop import EventSink
@@ -61,7 +61,7 @@
 
     # -- connections
 
-    def on_client_connected(self, client: ClientConnection) -> None:
+    def on_client_connected(self, client: HandledConnection) -> None:
         """Add a new connection, or one that the predecessor has handed over; close it above the limit."""
         if client.is_transferred:
             self.connections.add_transferred(client, self.clock.now())
@@ -71,17 +71,17 @@
             self._is_eviction_scheduled = True
             self.timers.at(self.clock.now() + EVICTION_DELAY_MS, self._evict)
 
-    def on_message_started(self, client: ClientConnection) -> None:
+    def on_message_started(self, client: HandledConnection) -> None:
         """Note that a request begins to be received."""
         self.connections.on_message_started(client, self.clock.now())
 
-    def on_client_idle(self, client: ClientConnection) -> None:
+    def on_client_idle(self, client: HandledConnection) -> None:
         """Note that a connection is idle after a response; hand it over if a successor serves."""
         self.connections.on_idle(client, self.clock.now())
         if self._role.is_retired:
             self._loop.call_soon(self.hand_over_idle)
 
-    def on_client_closed(self, client: ClientConnection, request: OpenRequest | None) -> None:
+    def on_client_closed(self, client: HandledConnection, request: OpenRequest | None) -> None:
         """Remove a connection that has ended, and close the request that was open on it."""
         self.connections.remove(client)
         if request is not None:
@@ -114,7 +114,7 @@
 
     # -- requests
 
-    def open_request(self, client: ClientConnection, received: ReceivedRequest) -> OpenRequest:
+    def open_request(self, client: HandledConnection, received: ReceivedRequest) -> OpenRequest:
         """Open a request that is complete, or whose large body is still being received.
 
         Raises BadRequestError.
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -1,43 +1,31 @@
-"""One connection of a client: its transport and its states.
-
-| state      | meaning                                           | next states                              |
-| ---------- | ------------------------------------------------- | ---------------------------------------- |
-| IDLE       | nothing of the next request has been received     | RECEIVING                                |
-| RECEIVING  | a request is being received; it is open already   | RECEIVED, DISCARDING (early response),   |
-|            | if its body is large                              | PAUSED (rejected), IDLE (readiness)      |
-| RECEIVED   | the open request is complete                      | IDLE (response complete), PIPELINED      |
-| PIPELINED  | the same, and bytes followed the request; they    | CLOSING (response complete)              |
-|            | and all later ones are discarded                  |                                          |
-| DISCARDING | the response is complete; the rest of the request | IDLE (end of the request)                |
-|            | is discarded                                      |                                          |
-| PAUSED     | a request was rejected; reading resumes later     | IDLE (end of the pause)                  |
-| CLOSING    | the gateway or the client ends the connection     |                                          |
-
-CLOSING can follow each other state: after unacceptable bytes, a timeout, the client's end or the gateway's.
+"""One connection of a client: its transport, and what its states allow.
+
+The module `connection_state` has the states and their transitions.
 """
 
 from __future__ import annotations
 
 import asyncio
-import enum
 import select
 from http import HTTPStatus
 from typing import cast
 
 from gateway.errors import BadRequestError
+from gateway.network.clients.body_progress import BodyProgress
+from gateway.network.clients.connection_state import ConnectionState
 from gateway.network.clients.received_request import ReceivedRequest
-from gateway.network.clients.request_handler import RequestHandler
-from gateway.network.clients.request_reader import (
+from gateway.network.clients.request_events import (
     BodyCompleted,
     BodyReceived,
     HeadReceived,
     LargeBodyStarted,
     MessageStarted,
     RequestEvent,
-    RequestReader,
     RequestReceived,
     RequestRejected,
 )
+from gateway.network.clients.request_handler import RequestHandler
+from gateway.network.clients.request_reader import RequestReader
 from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clients.response_writer import CONTINUE, ResponseWriter
 from gateway.network.clients.upload import Upload
@@ -59,18 +47,6 @@
 TEXT = b"text/plain"
 
 
-class ConnectionState(enum.Enum):
-    """The state of a client's connection; the module's docstring has the transitions."""
-
-    IDLE = enum.auto()
-    RECEIVING = enum.auto()
-    RECEIVED = enum.auto()
-    PIPELINED = enum.auto()
-    DISCARDING = enum.auto()
-    PAUSED = enum.auto()
-    CLOSING = enum.auto()
-
-
 class ClientConnection(asyncio.Protocol):
     """A client's connection, with one open request at a time."""
 
@@ -98,8 +74,7 @@
     def _reset_request(self) -> None:
         self._keep_alive = True
         self._upload: Upload | None = None
-        self._head_received_ms = 0.0  # advances by the duration of each pause of the body; 0 without a head
-        self.body_paused_since_ms = 0.0  # 0 while the body is not paused
+        self.body_progress = BodyProgress()
 
     # -- the transport's callbacks
 
@@ -194,7 +169,7 @@
 
     def _on_head_received(self, event: HeadReceived) -> None:
         self._keep_alive = event.keep_alive
-        self._head_received_ms = self._handler.clock.now()
+        self.body_progress.on_head_received(self._handler.clock.now())
         if event.expects_continue:
             self.transport.write(CONTINUE)
 
@@ -389,14 +364,13 @@
     def set_body_paused(self, paused: bool) -> None:
         """Stop or resume reading a large body; the time in between does not count as the client's delay."""
         now = self._handler.clock.now()
-        if self.transport.is_closing() or paused == bool(self.body_paused_since_ms):
+        if self.transport.is_closing() or paused == bool(self.body_progress.paused_since_ms):
             return
         if paused:
-            self.body_paused_since_ms = now
+            self.body_progress.pause(now)
             self.transport.pause_reading()
         else:
-            self._head_received_ms += now - self.body_paused_since_ms
-            self.body_paused_since_ms = 0.0
+            self.body_progress.resume(now)
             self.transport.resume_reading()
 
     def on_body_released(self) -> None:
@@ -474,14 +448,8 @@
         return not self.transport.get_write_buffer_size()
 
     def is_input_overdue(self, now: float, timeout_ms: float, min_bytes_per_ms: float) -> bool:
-        """Return whether the head is incomplete, or the body slower than a minimum rate.
-
-        While reading is paused, the delay is not the client's.
-        """
-        if not self._head_received_ms:
-            return True
-        allowed_ms = timeout_ms + self.reader.body_size / min_bytes_per_ms
-        return not self.body_paused_since_ms and now - self._head_received_ms > allowed_ms
+        """Return whether the head is incomplete, or the body slower than a minimum rate."""
+        return self.body_progress.is_overdue(now, self.reader.body_size, timeout_ms, min_bytes_per_ms)
 
     def has_unread_input(self) -> bool:
         """Return whether the socket has bytes, or the connection's end, that have not been read."""
--- a/gateway/network/clients/request_handler.py
+++ b/gateway/network/clients/request_handler.py
@@ -1,33 +1,36 @@
-"""The interface to which a client's connection hands its requests, and the table it is entered in."""
+"""The interfaces that a client's connection uses: its request handler and the table of connections."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from gateway.network.clients.connection_limiter import LimitedConnection
 from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clock import Clock, Timers
-from gateway.network.open_request import OpenRequest
+from gateway.network.open_request import ClientChannel, OpenRequest
 
-if TYPE_CHECKING:
-    from gateway.network.clients.connection import ClientConnection
+
+class HandledConnection(LimitedConnection, ClientChannel, Protocol):
+    """A client's connection as the handler uses it."""
+
+    is_transferred: bool  # whether the predecessor has served it before
 
 
 class ConnectionTable(Protocol):
-    """Where a client's connection is entered by what it waits for."""
+    """The connections of clients, by the event that each awaits."""
 
     def on_request_complete(self, client: LimitedConnection) -> None:
-        """Its request is whole."""
+        """Note that the request of a connection is complete."""
 
     def remove(self, client: LimitedConnection) -> None:
-        """It has ended, or another process has it."""
+        """Remove a connection that has closed or that another process serves."""
 
     def on_closing(self, client: LimitedConnection, now: float) -> None:
-        """It is being closed."""
+        """Note that the gateway closes a connection."""
 
 
 class RequestHandler(Protocol):
-    """What a client's connection hands its requests to."""
+    """The handler of the requests on clients' connections."""
 
     clock: Clock
     timers: Timers
@@ -42,28 +45,32 @@
 
     @property
     def connections(self) -> ConnectionTable:
-        """The clients' connections."""
+        """The connections of clients."""
 
-    def on_client_connected(self, client: ClientConnection) -> None:
-        """A connection is up."""
+    def on_client_connected(self, client: HandledConnection) -> None:
+        """Add a new connection, or drop it if there are too many."""
 
-    def on_message_started(self, client: ClientConnection) -> None:
-        """A request begins to come in."""
+    def on_message_started(self, client: HandledConnection) -> None:
+        """Note that the first byte of a request has been received."""
 
-    def on_client_idle(self, client: ClientConnection) -> None:
-        """Its request has been answered."""
+    def on_client_idle(self, client: HandledConnection) -> None:
+        """Note that the response of the last request is complete."""
 
-    def on_client_closed(self, client: ClientConnection, request: OpenRequest | None) -> None:
-        """The connection has ended, with the request that was open on it."""
+    def on_client_closed(self, client: HandledConnection, request: OpenRequest | None) -> None:
+        """Note that a connection has closed, with the request that was open on it."""
 
     def on_client_gone(self, request: OpenRequest) -> None:
-        """The client of an open request has disconnected."""
+        """Note that the client of an open request has disconnected."""
+
+    def open_request(self, client: HandledConnection, received: ReceivedRequest) -> OpenRequest:
+        """Open a request.
 
-    def open_request(self, client: ClientConnection, received: ReceivedRequest) -> OpenRequest:
-        """Open a request; raises BadRequestError."""
+        Raises:
+            BadRequestError: The request is rejected; the error has the status.
+        """
 
     def on_body_released(self, request: OpenRequest) -> None:
-        """A part of a request's body is no longer buffered."""
+        """Note that a part of a request's body is no longer buffered."""
 
     def on_request_completed(self, request: OpenRequest) -> None:
-        """The last byte of a large request has been received."""
+        """Note that the last byte of a large request has been received."""
--- a/gateway/network/clients/request_reader.py
+++ b/gateway/network/clients/request_reader.py
@@ -28,7 +28,6 @@
 from __future__ import annotations
 
 import enum
-from dataclasses import dataclass
 from http import HTTPStatus
 from typing import Protocol
 
@@ -36,6 +35,16 @@
 
 from gateway.network.clients import header_names
 from gateway.network.clients.received_request import ReceivedRequest
+from gateway.network.clients.request_events import (
+    BodyCompleted,
+    BodyReceived,
+    HeadReceived,
+    LargeBodyStarted,
+    MessageStarted,
+    RequestEvent,
+    RequestReceived,
+    RequestRejected,
+)
 from gateway.network.clients.upload import MAX_BUFFERED_BYTES
 
 # Bytes of a request's head, and of all its header fields, trailers included.
@@ -56,67 +65,6 @@
 OPTIONAL_WHITESPACE = b" \t"
 
 
-@dataclass(frozen=True, slots=True)
-class MessageStarted:
-    """The first byte of a request has been received."""
-
-
-@dataclass(frozen=True, slots=True)
-class HeadReceived:
-    """The head of a request is complete and passes all checks of its form."""
-
-    keep_alive: bool
-    expects_continue: bool
-
-
-@dataclass(frozen=True, slots=True)
-class LargeBodyStarted:
-    """The body of a request is too large to be buffered; its rest follows in parts."""
-
-    method: bytes
-    target: bytes
-    headers: dict[bytes, bytes]
-    length: int | None  # None for a chunked body
-    first_part: bytes  # buffered so far
-
-
-@dataclass(frozen=True, slots=True)
-class BodyReceived:
-    """A further part of a large body."""
-
-    data: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class BodyCompleted:
-    """The last byte of a request with a large body has been received."""
-
-
-@dataclass(frozen=True, slots=True)
-class RequestReceived:
-    """A request whose body was buffered is complete."""
-
-    request: ReceivedRequest
-    keep_alive: bool
-
-
-@dataclass(frozen=True, slots=True)
-class RequestRejected:
-    """The bytes received are not an acceptable request; later ones are ignored."""
-
-    status: HTTPStatus
-
-
-RequestEvent = (
-    MessageStarted
-    | HeadReceived
-    | LargeBodyStarted
-    | BodyReceived
-    | BodyCompleted
-    | RequestReceived
-    | RequestRejected
-)
-
 _MESSAGE_STARTED = MessageStarted()
 _BODY_COMPLETED = BodyCompleted()
 
@@ -155,12 +103,12 @@
         self._parser: _Parser = httptools.HttpRequestParser(self)
         self._events: list[RequestEvent] = []
         self._rejection: HTTPStatus | None = None
+        self.body_size = 0  # bytes of the last body, complete or not
         self._start_message(ReaderState.IDLE)
 
     def _start_message(self, state: ReaderState) -> None:
         self.state = state
-        self.raw_size = 0  # bytes on the wire, in units of what is fed together
-        self.body_size = 0
+        self.raw_size = 0  # bytes on the wire, counted at the end of each call of `feed`
         self._header_bytes = 0
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
@@ -244,6 +192,7 @@
         if status is not None:
             self._reject(status)
             return
+        self.body_size = 0
         expects_continue = self._headers.get(header_names.EXPECT, b"").lower() == b"100-continue"
         self._events.append(HeadReceived(self._parser.should_keep_alive(), expects_continue))
         if int(self._headers.get(header_names.CONTENT_LENGTH, b"0")) > MAX_BUFFERED_BYTES:
--- a/tests/network/clients/test_request_reader.py
+++ b/tests/network/clients/test_request_reader.py
@@ -9,17 +9,16 @@
 
 from gateway.network.clients import request_reader
 from gateway.network.clients.received_request import ReceivedRequest
-from gateway.network.clients.request_reader import (
+from gateway.network.clients.request_events import (
     BodyCompleted,
     BodyReceived,
     HeadReceived,
     LargeBodyStarted,
     MessageStarted,
-    ReaderState,
-    RequestReader,
     RequestReceived,
     RequestRejected,
 )
+from gateway.network.clients.request_reader import ReaderState, RequestReader
 
 MAX_HEAD_BYTES = 200
 MAX_BODY_BYTES = 100
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -81,7 +81,9 @@
     (connection,) = gateway.connections.all
     (attempt,) = gateway.attempts.in_flight.values()
     await wait_until(
-        lambda: attempt.connection and attempt.connection.writer.blocked and connection.body_paused_since_ms
+        lambda: attempt.connection
+        and attempt.connection.writer.blocked
+        and connection.body_progress.paused_since_ms
     )
     assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
     gateway.connections.sweep(gateway.clock.now() + 60_000, False)
@@ -124,7 +126,7 @@
     """The end of the connection lies behind bytes that are not read."""
     client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     arrival = await controller.next_event(RequestArrived)
-    await wait_until(lambda: gateway.requests.open[arrival.id].client.body_paused_since_ms)
+    await wait_until(lambda: gateway.requests.open[arrival.id].client.body_progress.paused_since_ms)
     client.close()
     async with asyncio.timeout(5):
         assert (await controller.next_event(ClientDisconnected)).id == arrival.id
