--- a/gateway/network/clients/body_progress.py
+++ b/gateway/network/clients/body_progress.py
@@ -8,6 +8,10 @@
 
     def __init__(self) -> None:
         """Start before the head is complete."""
+        self.reset()
+
+    def reset(self) -> None:
+        """Start again with the next request."""
         self.paused_since_ms = 0.0  # 0 while the body is not paused
         self._head_received_ms = 0.0  # advances by the duration of each pause; 0 before the head is complete
 
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -43,6 +43,15 @@
 # Rejections after which the pause no longer doubles.
 MAX_PAUSE_DOUBLINGS = 10
 
+# The states as module names: the lookup of a member in its enum is slow in Python 3.11.
+_IDLE = ConnectionState.IDLE
+_RECEIVING = ConnectionState.RECEIVING
+_RECEIVED = ConnectionState.RECEIVED
+_PIPELINED = ConnectionState.PIPELINED
+_DISCARDING = ConnectionState.DISCARDING
+_PAUSED = ConnectionState.PAUSED
+_CLOSING = ConnectionState.CLOSING
+
 READINESS_TARGET = b"/up"
 TEXT = b"text/plain"
 
@@ -60,7 +69,7 @@
             is_transferred: Whether the predecessor has served the connection before.
         """
         self.is_transferred = is_transferred
-        self.state = ConnectionState.IDLE
+        self.state = _IDLE
         self.reader = RequestReader()
         self.request: OpenRequest | None = None
         self.response_source: ResponseSource | None = None  # the origin of a response being forwarded
@@ -69,12 +78,13 @@
         self._handler = handler
         self._writer = ResponseWriter()
         self._rejections = 0
+        self.body_progress = BodyProgress()
         self._reset_request()
 
     def _reset_request(self) -> None:
         self._keep_alive = True
         self._upload: Upload | None = None
-        self.body_progress = BodyProgress()
+        self.body_progress.reset()
 
     # -- the transport's callbacks
 
@@ -99,11 +109,11 @@
 
         Pipelined bytes are discarded, as unread ones would hide the client's end of the connection.
         """
-        if self.state is ConnectionState.CLOSING:
+        if self.state is _CLOSING:
             self.received_while_closing = True
-        elif self.state is ConnectionState.RECEIVED:
-            self.state = ConnectionState.PIPELINED
-        elif self.state is not ConnectionState.PIPELINED:
+        elif self.state is _RECEIVED:
+            self.state = _PIPELINED
+        elif self.state is not _PIPELINED:
             self._read(data)
 
     def eof_received(self) -> None:
@@ -112,12 +122,12 @@
         The handler is notified at once, even if the client has not read an earlier response.
         """
         self._cancel_request()
-        if self.state is not ConnectionState.CLOSING:
+        if self.state is not _CLOSING:
             self._enter_closing()
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Deregister the connection."""
-        self.state = ConnectionState.CLOSING
+        self.state = _CLOSING
         self.reader.close()
         request = self.request
         self.request = None
@@ -129,20 +139,20 @@
     def _read(self, data: bytes) -> None:
         for event in self.reader.feed(data):
             self._handle(event)
-            if self.state is ConnectionState.PIPELINED or self.state is ConnectionState.CLOSING:
+            if self.state is _PIPELINED or self.state is _CLOSING:
                 return
-        if self.state is ConnectionState.PAUSED:
+        if self.state is _PAUSED:
             self.reader.expect_next_message()
-        elif self.state is not ConnectionState.RECEIVED:
+        elif self.state is not _RECEIVED:
             rejection = self.reader.check_raw_size()
             if rejection is not None:
                 self._abort_request(rejection.status)
 
     def _handle(self, event: RequestEvent) -> None:
-        if self.state is ConnectionState.RECEIVED:
-            self.state = ConnectionState.PIPELINED
+        if self.state is _RECEIVED:
+            self.state = _PIPELINED
             return
-        if self.state is ConnectionState.PAUSED:
+        if self.state is _PAUSED:
             self._abort_request(HTTPStatus.BAD_REQUEST)
             return
         match event:
@@ -164,7 +174,7 @@
 
     def _on_message_started(self) -> None:
         self._reset_request()
-        self.state = ConnectionState.RECEIVING
+        self.state = _RECEIVING
         self._handler.on_message_started(self)
 
     def _on_head_received(self, event: HeadReceived) -> None:
@@ -183,12 +193,12 @@
             self._abort_request(error.status)
 
     def _on_body_completed(self) -> None:
-        if self.state is ConnectionState.DISCARDING:
-            self.state = ConnectionState.IDLE
+        if self.state is _DISCARDING:
+            self.state = _IDLE
             self._handler.connections.on_request_complete(self)
             self._handler.on_client_idle(self)
         elif self.request is not None and self._upload is not None:
-            self.state = ConnectionState.RECEIVED
+            self.state = _RECEIVED
             self._handler.connections.on_request_complete(self)
             self._upload.end()
             self._handler.on_request_completed(self.request)
@@ -205,7 +215,7 @@
         except BadRequestError as error:
             self._reject(error.status)
         else:
-            self.state = ConnectionState.RECEIVED
+            self.state = _RECEIVED
 
     # -- rejections
 
@@ -218,7 +228,7 @@
             self._abort_request(status)
             return
         self._reset_request()
-        self.state = ConnectionState.PAUSED
+        self.state = _PAUSED
         self.transport.write(self._writer.error(status, close=False))
         self.transport.pause_reading()
         pause_ms = MIN_REJECTION_PAUSE_MS * 2 ** min(self._rejections, MAX_PAUSE_DOUBLINGS)
@@ -227,8 +237,8 @@
         self._handler.timers.at(resume_at_ms, self._resume_after_rejection)
 
     def _resume_after_rejection(self) -> None:
-        if self.state is ConnectionState.PAUSED:
-            self.state = ConnectionState.IDLE
+        if self.state is _PAUSED:
+            self.state = _IDLE
             if not self.transport.is_closing():
                 self.transport.resume_reading()
 
@@ -237,7 +247,7 @@
 
         The status is sent unless a response has been sent, or is being forwarded.
         """
-        has_response = self.state is ConnectionState.DISCARDING or self.response_source is not None
+        has_response = self.state is _DISCARDING or self.response_source is not None
         self._cancel_request()
         if has_response:
             self.drop()
@@ -260,7 +270,7 @@
         self.request = None
         if self.transport.is_closing():
             return
-        if self.state is ConnectionState.RECEIVING:
+        if self.state is _RECEIVING:
             self._send_early_response(status, body, content_type, retry_after_ms)
         else:
             self.reader.expect_next_message()
@@ -270,7 +280,7 @@
         self, status: int, body: bytes, content_type: bytes, retry_after_ms: float = 0.0
     ) -> None:
         """Write the response of a complete request. Pipelined bytes get an error response of their own."""
-        is_pipelined = self.state is ConnectionState.PIPELINED
+        is_pipelined = self.state is _PIPELINED
         close = self._must_close()
         response = self._writer.complete(
             status, body, content_type, retry_after_ms, close=close and not is_pipelined
@@ -324,10 +334,10 @@
         self.response_source = None
         if self.transport.is_closing():
             return
-        is_pipelined = self.state is ConnectionState.PIPELINED
+        is_pipelined = self.state is _PIPELINED
         close = self._must_close()
         self.transport.write(self._writer.end())
-        if self.state is ConnectionState.RECEIVING and not close:
+        if self.state is _RECEIVING and not close:
             self._discard_body()
             return
         self._reset_request()
@@ -346,16 +356,16 @@
         self.drop()
 
     def _must_close(self) -> bool:
-        is_ending = self.state is ConnectionState.PIPELINED or self.state is ConnectionState.CLOSING
+        is_ending = self.state is _PIPELINED or self.state is _CLOSING
         return is_ending or self._handler.draining or not self._keep_alive
 
     def _become_idle(self) -> None:
-        self.state = ConnectionState.IDLE
+        self.state = _IDLE
         self._handler.on_client_idle(self)
 
     def _discard_body(self) -> None:
         """Discard the rest of a request that has received its response."""
-        self.state = ConnectionState.DISCARDING
+        self.state = _DISCARDING
         self._upload = None
         self.set_body_paused(False)
 
@@ -382,7 +392,7 @@
 
     def drop(self) -> None:
         """Abort the connection."""
-        self.state = ConnectionState.CLOSING
+        self.state = _CLOSING
         self.transport.abort()
 
     def close_if_idle(self) -> None:
@@ -390,7 +400,7 @@
 
         Closing would reset such a request, and its client would have to send it again.
         """
-        is_unused = self.state is ConnectionState.IDLE or self.state is ConnectionState.PAUSED
+        is_unused = self.state is _IDLE or self.state is _PAUSED
         if is_unused and not self.has_unread_input():
             self._close()
 
@@ -419,7 +429,7 @@
         self.transport.close()
 
     def _enter_closing(self) -> None:
-        self.state = ConnectionState.CLOSING
+        self.state = _CLOSING
         self.received_while_closing = False
         self.closing_since_ms = self._handler.clock.now()
         self._handler.connections.on_closing(self, self.closing_since_ms)
@@ -429,21 +439,21 @@
     @property
     def is_receiving(self) -> bool:
         """Whether a request is being received."""
-        return self.state is ConnectionState.RECEIVING or self.state is ConnectionState.DISCARDING
+        return self.state is _RECEIVING or self.state is _DISCARDING
 
     @property
     def is_pipelined(self) -> bool:
         """Whether bytes have followed the open request before its response."""
-        return self.state is ConnectionState.PIPELINED
+        return self.state is _PIPELINED
 
     @property
     def is_closing(self) -> bool:
         """Whether the gateway or the client is ending the connection."""
-        return self.state is ConnectionState.CLOSING
+        return self.state is _CLOSING
 
     def is_transferable(self) -> bool:
         """Return whether another process could continue to serve the connection."""
-        if self.state is not ConnectionState.IDLE or self.transport.is_closing():
+        if self.state is not _IDLE or self.transport.is_closing():
             return False
         return not self.transport.get_write_buffer_size()
 
@@ -453,7 +463,7 @@
 
     def has_unread_input(self) -> bool:
         """Return whether the socket has bytes, or the connection's end, that have not been read."""
-        if self.state is ConnectionState.PAUSED:
+        if self.state is _PAUSED:
             return False
         return self._poll(select.POLLIN)
 
--- a/gateway/network/clients/request_reader.py
+++ b/gateway/network/clients/request_reader.py
@@ -34,6 +34,7 @@
 import httptools
 
 from gateway.network.clients import header_names
+from gateway.network.clients.header_names import RECOGNIZED
 from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clients.request_events import (
     BodyCompleted,
@@ -80,6 +81,15 @@
     REJECTED = enum.auto()
 
 
+# The states as module names: the lookup of a member in its enum is slow in Python 3.11.
+_IDLE = ReaderState.IDLE
+_HEAD = ReaderState.HEAD
+_BODY = ReaderState.BODY
+_LARGE_BODY = ReaderState.LARGE_BODY
+_LARGE_BODY_RECEIVED = ReaderState.LARGE_BODY_RECEIVED
+_REJECTED = ReaderState.REJECTED
+
+
 class _Parser(Protocol):
     """The HTTP parser of httptools, which has no type information."""
 
@@ -104,7 +114,7 @@
         self._events: list[RequestEvent] = []
         self._rejection: HTTPStatus | None = None
         self.body_size = 0  # bytes of the last body, complete or not
-        self._start_message(ReaderState.IDLE)
+        self._start_message(_IDLE)
 
     def _start_message(self, state: ReaderState) -> None:
         self.state = state
@@ -118,7 +128,7 @@
 
     def feed(self, data: bytes) -> list[RequestEvent]:
         """Read bytes, and return the events that they complete."""
-        if self.state is ReaderState.REJECTED:
+        if self.state is _REJECTED:
             return []
         try:
             self._parser.feed_data(data)
@@ -128,13 +138,13 @@
         events = self._events
         self._events = []
         if self._rejection is not None:
-            self.state = ReaderState.REJECTED
+            self.state = _REJECTED
             events.append(RequestRejected(self._rejection))
         return events
 
     def check_raw_size(self) -> RequestRejected | None:
         """Return a rejection if the bytes of the current request on the wire exceed their limit."""
-        if self.state is ReaderState.IDLE or self.state is ReaderState.HEAD:
+        if self.state is _IDLE or self.state is _HEAD:
             if self.raw_size > MAX_HEAD_BYTES:
                 return RequestRejected(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         elif self.raw_size > MAX_RAW_OVERHEAD_BYTES + MAX_RAW_BYTES_PER_BODY_BYTE * self.body_size:
@@ -143,7 +153,7 @@
 
     def expect_next_message(self) -> None:
         """Count the bytes in front of the next request from zero."""
-        self.state = ReaderState.IDLE
+        self.state = _IDLE
         self.raw_size = 0
 
     @property
@@ -159,34 +169,30 @@
 
     def on_message_begin(self) -> None:
         """Start a request."""
-        if self.state is not ReaderState.REJECTED:
-            self._start_message(ReaderState.HEAD)
+        if self.state is not _REJECTED:
+            self._start_message(_HEAD)
             self._events.append(_MESSAGE_STARTED)
 
     def on_url(self, part: bytes) -> None:
         """Append a part of the target."""
-        if self.state is not ReaderState.REJECTED:
+        if self.state is not _REJECTED:
             self._target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Keep a recognized header field. Trailers are bounded and ignored."""
-        if self.state is ReaderState.REJECTED:
-            return
         self._header_bytes += len(name) + len(value)
-        if self.state is not ReaderState.HEAD:
-            if self._header_bytes > MAX_HEAD_BYTES:
-                self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
-            return
-        name = name.lower()
-        if name not in header_names.RECOGNIZED:
-            return
-        if name in self._headers:
-            self._rejection = HTTPStatus.BAD_REQUEST
-        self._headers[name] = value.strip(OPTIONAL_WHITESPACE)
+        if self.state is _HEAD:
+            name = name.lower()
+            if name in RECOGNIZED:
+                if name in self._headers:
+                    self._rejection = HTTPStatus.BAD_REQUEST
+                self._headers[name] = value.strip(OPTIONAL_WHITESPACE)
+        elif self._header_bytes > MAX_HEAD_BYTES and self.state is not _REJECTED:
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
         """Check the head."""
-        if self.state is not ReaderState.HEAD:
+        if self.state is not _HEAD:
             return
         status = self._check_head()
         if status is not None:
@@ -198,18 +204,18 @@
         if int(self._headers.get(header_names.CONTENT_LENGTH, b"0")) > MAX_BUFFERED_BYTES:
             self._start_large_body()
         else:
-            self.state = ReaderState.BODY
+            self.state = _BODY
         if self._rejection is not None:
-            self.state = ReaderState.REJECTED
+            self.state = _REJECTED
 
     def on_body(self, part: bytes) -> None:
         """Buffer a part of the body, or emit it if the body is large."""
-        if self.state is ReaderState.REJECTED:
+        if self.state is _REJECTED:
             return
         self.body_size += len(part)
         if self.body_size > MAX_BODY_BYTES:
             self._reject(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
-        elif self.state is ReaderState.LARGE_BODY:
+        elif self.state is _LARGE_BODY:
             self._events.append(BodyReceived(part))
         else:
             self._body += part
@@ -218,10 +224,10 @@
 
     def on_message_complete(self) -> None:
         """End a request."""
-        if self.state is ReaderState.LARGE_BODY:
-            self.state = ReaderState.LARGE_BODY_RECEIVED
+        if self.state is _LARGE_BODY:
+            self.state = _LARGE_BODY_RECEIVED
             self._events.append(_BODY_COMPLETED)
-        elif self.state is ReaderState.BODY:
+        elif self.state is _BODY:
             request = ReceivedRequest(
                 self._parser.get_method(), self._target, self._headers, bytes(self._body), None
             )
@@ -246,7 +252,7 @@
 
     def _start_large_body(self) -> None:
         length = self._headers.get(header_names.CONTENT_LENGTH)
-        self.state = ReaderState.LARGE_BODY
+        self.state = _LARGE_BODY
         self._events.append(
             LargeBodyStarted(
                 self._parser.get_method(),
@@ -260,4 +266,4 @@
 
     def _reject(self, status: HTTPStatus) -> None:
         self._rejection = status
-        self.state = ReaderState.REJECTED
+        self.state = _REJECTED
--- a/gateway/network/clients/response_writer.py
+++ b/gateway/network/clients/response_writer.py
@@ -10,6 +10,8 @@
 
 MS_PER_S = 1000
 
+OK = int(HTTPStatus.OK)  # a plain integer compares faster
+
 # The statuses that clients receive, with their reason phrases.
 REASON_PHRASES: dict[int, bytes] = {
     HTTPStatus.OK: b"OK",
@@ -45,7 +47,7 @@
             retry_after_ms: The value of Retry-After in milliseconds; the field is left out if it is 0.
             close: Whether the response states that the connection closes.
         """
-        if status == HTTPStatus.OK and not close and not content_type:
+        if status == OK and not close and not content_type:
             return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s%s\r\n%s" % (
             status,
