--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -177,7 +177,7 @@
         """Restore the predecessor's state; until it ends, use that number of descriptors only."""
         self.role.follow(predecessor)
         self.requests.ids.restore(request_ids)
-        hot_restart.take_over(self.controller_loop.controller, self.clock.now(), state)
+        hot_restart.restore_state(self.controller_loop.controller, self.clock.now(), state)
         self._limit_descriptors(descriptors)
 
     def on_predecessor_ended(self) -> None:
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -46,7 +46,7 @@
     return state
 
 
-def take_over(controller: Controller, now_ms: float, state: GatewayState) -> None:
+def restore_state(controller: Controller, now_ms: float, state: GatewayState) -> None:
     """Continue with the state of the predecessor, whose clock may differ from this one."""
     shift_ms = now_ms - state.exported_at_ms
     role = controller.context.role
--- a/tests/compatibility/test_state_transfer.py
+++ b/tests/compatibility/test_state_transfer.py
@@ -109,5 +109,5 @@
     successor = Controller(settings(gateways=2), 8)
     now = 50_000.0
     successor.handle(now, [EndpointUpdate(ENDPOINTS)])
-    hot_restart.take_over(successor, now + 1, GatewayState.from_json(state))
+    hot_restart.restore_state(successor, now + 1, GatewayState.from_json(state))
     check_json_recording("state-taken-over.json", hot_restart.export_state(successor, now + 2).to_json())
--- a/tests/policy/state_transfer/test_hot_restart.py
+++ b/tests/policy/state_transfer/test_hot_restart.py
@@ -43,7 +43,7 @@
     """Pass the predecessor's state on as JSON, to a successor whose clock may differ."""
     state = json.loads(json.dumps(hot_restart.export_state(predecessor, now).to_json()))
     successor_now = now if successor_now is None else successor_now
-    hot_restart.take_over(successor, successor_now, GatewayState.from_json(state))
+    hot_restart.restore_state(successor, successor_now, GatewayState.from_json(state))
 
 
 def forwarded(controller, request_ids, now):
