--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -165,7 +165,8 @@
     if len(data) < end_of_entries or (len(data) - end_of_entries) % _OBSERVATION_LAYOUT.size:
         return None
     entry_rows = list(_ENTRY_LAYOUT.iter_unpack(data[_HEADER_LAYOUT.size : end_of_entries]))
-    if any(row[0] not in _KINDS for row in entry_rows):
+    kinds = [row[0] for row in entry_rows]
+    if not _KINDS.issuperset(kinds):
         return None
     observation_rows = _OBSERVATION_LAYOUT.iter_unpack(data[end_of_entries:])
     return GossipMessage(
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -89,7 +89,7 @@
         return self._cheapest(self._sample(warm, request), request.request_class)
 
     def _weighted_sends(self, endpoints: int) -> float:
-        """Return the recent own sends to each of so many endpoints, in candidates for a comparison."""
+        """Return the mean number of recent own sends to an endpoint, times CANDIDATES_PER_SEND."""
         return CANDIDATES_PER_SEND * self.recent_sends / max(1, endpoints)
 
     def _warm_candidates(self, request: RequestRecord, eligible: Eligible) -> list[EndpointRecord]:
--- a/gateway/policy/quota/accounts.py
+++ b/gateway/policy/quota/accounts.py
@@ -36,7 +36,7 @@
         return account
 
     def create(self, key: AccountKey, plan: Plan) -> CustomerAccount:
-        """Return a new account, whose ceiling holds what has surely not been used."""
+        """Return a new account, whose ceiling holds the units that cannot have been used yet."""
         gateways = self._settings.gateways
         spread = max(1, min(key.spread, gateways))
         tag = customer_tag(key.customer)
--- a/gateway/policy/quota/leader.py
+++ b/gateway/policy/quota/leader.py
@@ -70,7 +70,7 @@
                 del self.buckets[name]
 
     def _create(self, entry: QuotaEntry) -> LeaderBucket:
-        """Add a bucket, whose ceiling holds what has surely not been used.
+        """Add a bucket, whose ceiling holds the units that cannot have been used yet.
 
         Units that an earlier leader granted came from the quota's bucket, which fills no faster than the
         ceiling. At most that bucket's burst can therefore be missing from the ceiling.
