--- a/gateway/network/hot_restart/client_listener.py
+++ b/gateway/network/hot_restart/client_listener.py
@@ -68,7 +68,9 @@
 
     async def adopt_connection(self, sock: socket.socket) -> None:
         """Serve a connection that the predecessor has handed over."""
-        await self._loop.connect_accepted_socket(lambda: ClientConnection(self._handler, moved=True), sock)
+        await self._loop.connect_accepted_socket(
+            lambda: ClientConnection(self._handler, is_transferred=True), sock
+        )
 
     async def accept_queued(self) -> None:
         """Serve the connections in the socket's queue, as closing the socket would reset them."""
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -11,7 +11,7 @@
 from gateway.network.admin.metrics import FinalStatus, Metrics
 from gateway.network.attempt_table import AttemptTable
 from gateway.network.clients.received_request import ReceivedRequest
-from gateway.network.clients.request_parser import ParsedRequest
+from gateway.network.clients.request_validator import ValidatedRequest
 from gateway.network.clock import Timer
 from gateway.network.request_table import (
     DEADLINE_MARGIN_MS,
@@ -53,7 +53,7 @@
     def __init__(self):
         self.written = []
 
-    def answer(self, status, body=b"", content_type=b"", retry_after_ms=0.0):
+    def send_response(self, status, body=b"", content_type=b"", retry_after_ms=0.0):
         self.written.append((int(status), body, retry_after_ms))
 
     def finish_response(self):
@@ -93,7 +93,7 @@
         self.events.append(event)
 
     def add(self, request_id=b"r1", wait_ms=500.0):
-        parsed = ParsedRequest(request_id, "1", CLASS, "basic", wait_ms, 1.0, 1, 0, False, None)
+        parsed = ValidatedRequest(request_id, "1", CLASS, "basic", wait_ms, 1.0, 1, 0, False, None)
         received = ReceivedRequest(b"GET", b"/look", {}, b"", None)
         return self.table.add(self.client, parsed, received)
 
