--- a/tests/network/hot_restart/test_packet_link.py
+++ b/tests/network/hot_restart/test_packet_link.py
@@ -1,4 +1,4 @@
-"""Tests of `gateway.network.hot_restart.packet_link`, over a pair of connected sockets."""
+"""Tests of the packets between two processes, over a pair of connected sockets."""
 
 import asyncio
 import os
--- a/tests/network/test_controller_loop.py
+++ b/tests/network/test_controller_loop.py
@@ -1,4 +1,4 @@
-"""Tests of `gateway.network.controller_loop`."""
+"""Tests of the loop that passes events to the controller and carries out its actions."""
 
 import asyncio
 import logging
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -1,4 +1,4 @@
-"""Tests of `gateway.network.request_table`."""
+"""Tests of the table of open requests: ids, guard timers and the one final answer."""
 
 import heapq
 
--- a/tests/policy/gossip/test_outbox.py
+++ b/tests/policy/gossip/test_outbox.py
@@ -11,7 +11,7 @@
 
 
 def outbox_with(counts):
-    """An outbox with so many entries for each gateway."""
+    """Return an outbox with this many entries for each gateway."""
     outbox = EntryOutbox()
     for gateway, count in counts.items():
         for entry in entries(count):
