--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -37,7 +37,7 @@
     name, monkeypatch, endpoint, gateway, running_gateway, client
 ):
     data, status = UNACCEPTABLE[name]
-    monkeypatch.setattr("gateway.network.clients.connection.MAX_BODY", 64 * 1024)
+    monkeypatch.setattr("gateway.network.clients.request_reader.MAX_BODY_BYTES", 64 * 1024)
     other = await running_gateway.connect()
     other.send(http_request())
     _, writer = await endpoint.next_request()
--- a/tests/network/clients/test_connection.py
+++ b/tests/network/clients/test_connection.py
@@ -32,7 +32,7 @@
     _, writer = await endpoint.next_request()
     client.send(http_request())
     (request,) = gateway.requests.open.values()
-    while not request.client.pipelined:
+    while not request.client.is_pipelined:
         await asyncio.sleep(0)
     writer.write(http_response(body=b"first"))
     assert (await client.next_response()).status_and_body == (200, b"first")
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -22,7 +22,7 @@
     assert (await rejected.next_response()).status == 400
     for max_kept, closed in ((4, rejected), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
         limiter.max_kept = max_kept
-        limiter.make_room()
+        limiter.evict_excess()
         if closed is not None:
             assert await closed.is_closed_by_peer() and len(limiter) == max_kept
     assert len(limiter) == 1 and len(gateway.requests.open) == 1
@@ -49,7 +49,7 @@
         gateway.frontend.close_idle()
     else:
         gateway.connections.max_kept = 0
-        gateway.connections.make_room()
+        gateway.connections.evict_excess()
     _, writer = await endpoint.next_request()
     writer.write(http_response())
     assert (await client.next_response()).status == 200
@@ -91,7 +91,7 @@
 
 
 async def test_idle_connections_close_sooner_under_overload(endpoint, gateway, running_gateway, client):
-    gateway.connections.crowd_size = 1
+    gateway.connections.overload_threshold = 1
     other = await running_gateway.connect()
     for one in (client, other):
         await complete_request(endpoint, one)
--- a/tests/network/clients/test_timeouts.py
+++ b/tests/network/clients/test_timeouts.py
@@ -6,7 +6,7 @@
 from support.gateway_steps import sweep_after, until_connected
 from support.http_messages import http_request
 
-from gateway.network.clients.connection_limiter import SWEEP_MS
+from gateway.network.clients.connection_limiter import SWEEP_INTERVAL_MS
 
 
 @pytest.mark.parametrize(
@@ -21,12 +21,12 @@
 async def test_incomplete_request_times_out_with_an_error_or_a_close(sent, status, gateway, client):
     """That takes 2 to 3 s, including the interval of the sweep."""
     client.send(sent)
-    while sent and not any(one.size for one in gateway.connections.all):
+    while sent and not any(one.reader.raw_size for one in gateway.connections.all):
         await asyncio.sleep(0)
     await until_connected(gateway, 1)
     sweep_after(gateway, 2000)
     (connection,) = gateway.connections.all
-    assert not connection.ending
-    sweep_after(gateway, 3000 - SWEEP_MS)
+    assert not connection.is_closing
+    sweep_after(gateway, 3000 - SWEEP_INTERVAL_MS)
     response = await client.next_response()
     assert (response and response.status) == status and await client.is_closed_by_peer()
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -23,7 +23,7 @@
 from gateway.network.clients.connection_limiter import INPUT_TIMEOUT_MS
 from gateway.network.upstream import connection as upstream_connection
 
-LARGE = 3 * uploads.MAX_BUFFERED
+LARGE = 3 * uploads.MAX_BUFFERED_BYTES
 
 
 @pytest_asyncio.fixture
@@ -80,10 +80,12 @@
     writer.transport.pause_reading()
     (connection,) = gateway.connections.all
     (attempt,) = gateway.attempts.in_flight.values()
-    await wait_until(lambda: attempt.connection and attempt.connection.writer.blocked and connection.held_ms)
+    await wait_until(
+        lambda: attempt.connection and attempt.connection.writer.blocked and connection.body_paused_since_ms
+    )
     assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
     gateway.connections.sweep(gateway.clock.now() + 60_000, False)
-    assert not connection.ending  # the endpoint causes the delay
+    assert not connection.is_closing  # the endpoint causes the delay
     gateway.upstreams._sweep()
     assert gateway.attempts.in_flight and attempt.connection._buffered_bytes
     monkeypatch.setattr(upstream_connection, "UPLOAD_STALL_TIMEOUT_MS", -1.0)
@@ -107,7 +109,7 @@
 
 
 async def test_disconnect_during_a_body_ends_the_attempt(endpoint, controller, gateway, client):
-    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED))
+    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     _, reader, _ = await endpoint.next_request_head()
     client.close()
     outcome = await controller.next_event(AttemptEnded)
@@ -120,9 +122,9 @@
 @pytest.mark.scripted_controller(endpoint=None)
 async def test_disconnect_while_the_body_is_paused_is_detected(controller, gateway, client):
     """The end of the connection lies behind bytes that are not read."""
-    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED))
+    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     arrival = await controller.next_event(RequestArrived)
-    await wait_until(lambda: gateway.requests.open[arrival.id].client.held_ms)
+    await wait_until(lambda: gateway.requests.open[arrival.id].client.body_paused_since_ms)
     client.close()
     async with asyncio.timeout(5):
         assert (await controller.next_event(ClientDisconnected)).id == arrival.id
@@ -131,7 +133,7 @@
 async def test_second_of_two_attempts_waiting_with_one_body_is_not_written(
     endpoint, controller, gateway, client
 ):
-    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED))
+    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     arrival = await controller.next_event(RequestArrived)
     await controller.next_event(BodyReleased)
     await endpoint.next_request_head()
@@ -142,7 +144,7 @@
 
 
 async def test_body_interrupted_by_its_endpoint_is_not_executed(endpoint, controller, client):
-    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED))
+    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     _, _, writer = await endpoint.next_request_head()
     await controller.next_event(BodyReleased)
     writer.transport.abort()
@@ -153,11 +155,13 @@
 @pytest.mark.parametrize(("bytes_per_s", "is_accepted"), [(64_000, True), (8_000, False)])
 async def test_slow_body_is_accepted_above_its_minimum_rate(bytes_per_s, is_accepted, gateway, client):
     client.send(upload(200_000) + bytes(4 * bytes_per_s - 10))
-    await wait_until(lambda: any(one.body_size for one in gateway.connections.all))
+    await wait_until(lambda: any(one.reader.body_size for one in gateway.connections.all))
     (connection,) = gateway.connections.all
-    await wait_until(lambda: connection.body_size == 4 * bytes_per_s - 10 or connection.body_size >= 190_000)
+    await wait_until(
+        lambda: connection.reader.body_size == 4 * bytes_per_s - 10 or connection.reader.body_size >= 190_000
+    )
     gateway.connections.sweep(gateway.clock.now() + 4000, False)
-    assert connection.ending is not is_accepted and INPUT_TIMEOUT_MS < 4000
+    assert connection.is_closing is not is_accepted and INPUT_TIMEOUT_MS < 4000
 
 
 async def test_expect_100_continue_is_answered(endpoint, client):
