--- a/gateway/network/clients/request_validator.py
+++ b/gateway/network/clients/request_validator.py
@@ -9,15 +9,13 @@
 import math
 import re
 from collections.abc import Mapping
+from http import HTTPStatus
 from typing import NamedTuple
 
 from gateway.errors import BadRequestError
 from gateway.interface.settings import Idempotency, RequestClass, Settings
 from gateway.network.clients import header_names
 
-NOT_FOUND = 404
-METHOD_NOT_ALLOWED = 405
-
 # Customers; their numbers are below.
 CUSTOMER_LIMIT = 1 << 33
 
@@ -75,13 +73,7 @@
     def validate(
         self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool
     ) -> ValidatedRequest:
-        """Return the typed fields of a request.
-
-        Args:
-            method: The request method.
-            target: The request target.
-            headers: The recognized header fields, by their names in lower case.
-            has_body: Whether the request has a body that is not empty.
+        """Return the typed fields of a request whose headers are recognized ones, with lower-case names.
 
         Raises:
             BadRequestError: A check fails; the error has the status code of the response.
@@ -114,7 +106,7 @@
         path = target[1:].partition(b"?")[0]
         request_class = self._classes.get(path.partition(b"/")[0])
         if request_class is None:
-            raise BadRequestError("there is no such class", NOT_FOUND)
+            raise BadRequestError("there is no such class", HTTPStatus.NOT_FOUND)
         return request_class
 
     def _plan(self, headers: Mapping[bytes, bytes]) -> str:
@@ -127,7 +119,7 @@
 def _check_method(request_class: RequestClass, method: bytes, has_body: bool) -> None:
     expected = b"GET" if request_class.idempotency is Idempotency.IDEMPOTENT else b"POST"
     if method != expected:
-        raise BadRequestError("the class has another method", METHOD_NOT_ALLOWED)
+        raise BadRequestError("the class has another method", HTTPStatus.METHOD_NOT_ALLOWED)
     if has_body and method == b"GET":
         raise BadRequestError("a GET request has a body")
 
