--- a/gateway/errors.py
+++ b/gateway/errors.py
@@ -8,7 +8,7 @@
 
 
 class SettingsError(GatewayError, ValueError):
-    """An invalid setting; the text names the setting and what is wrong with it."""
+    """An invalid setting; the text names the setting and its problem."""
 
     def __init__(self, path: str, problem: str) -> None:
         """`path` leads to the setting, as in `config.settings.classes[0].aimMs`."""
@@ -17,7 +17,7 @@
 
 
 class ConfigError(GatewayError):
-    """An unusable configuration; the text names what is wrong."""
+    """An unusable configuration; the text names the problem."""
 
 
 class BadRequestError(GatewayError, ValueError):
--- a/gateway/log_handler.py
+++ b/gateway/log_handler.py
@@ -43,14 +43,15 @@
 
     def _write(self, line: str) -> bool:
         """Write one line; return False if it did not fit, or if the descriptor has no reader."""
-        rest = memoryview(f"{line}\n".encode(errors="backslashreplace"))
-        while rest:
+        remaining = memoryview(f"{line}\n".encode(errors="backslashreplace"))
+        while remaining:
             if not self._is_writable():
                 return False
             try:
-                rest = rest[os.write(self._descriptor, rest[:CHUNK_BYTES]) :]
+                written = os.write(self._descriptor, remaining[:CHUNK_BYTES])
             except OSError:
                 return False
+            remaining = remaining[written:]
         return True
 
     def _is_writable(self) -> bool:
--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -42,7 +42,7 @@
         if request is None:
             self._report_not_sent(action, 0)
         elif request.client.is_disconnected():
-            self._requests.on_client_gone(request)
+            self._requests.on_client_disconnected(request)
             request.client.drop()
             self._report_not_sent(action, request.attempts)
         else:
--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -158,4 +158,4 @@
 
     def on_client_gone(self, request: OpenRequest) -> None:
         """Close a request whose client has disconnected."""
-        self._requests.on_client_gone(request)
+        self._requests.on_client_disconnected(request)
--- a/gateway/network/controller_loop.py
+++ b/gateway/network/controller_loop.py
@@ -8,8 +8,7 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 from gateway.interface.actions import (
     Action,
@@ -81,18 +80,8 @@
         self._loop = loop
         self._clock = clock
         self._events: list[Event] = []
+        self._actions = actions
         self._next_error_log_ms = 0.0
-        # Each handler takes the type of action that it stands beside.
-        self._handlers: dict[type[Any], Callable[[Any], None]] = {
-            SendAttempt: actions.send_attempt,
-            Reject: actions.reject,
-            Fail: actions.fail,
-            CancelAttempt: actions.cancel_attempt,
-            SetTimer: actions.set_timer,
-            SendGossip: actions.send_gossip,
-            CheckHealth: actions.check_health,
-            SubscribeEndpoints: actions.subscribe_endpoints,
-        }
 
     def enqueue(self, event: Event) -> None:
         """Keep an event for the controller's next turn, at the end of this turn of the event loop."""
@@ -103,9 +92,8 @@
     def _run_turn(self) -> None:
         events = self._events
         self._events = []
-        handlers = self._handlers
         for action in self._decide(events):
-            handlers[type(action)](action)
+            self._dispatch(action)
 
     def _decide(self, events: list[Event]) -> list[Action]:
         """Return the controller's actions; none if it raises, in which case guard timers answer."""
@@ -119,6 +107,27 @@
             self._log_errors(errors, len(events))
         return actions
 
+    def _dispatch(self, action: Action) -> None:
+        """Pass an action to its method; the most frequent kinds are tested first."""
+        handler = self._actions
+        match action:
+            case SendAttempt():
+                handler.send_attempt(action)
+            case SetTimer():
+                handler.set_timer(action)
+            case SendGossip():
+                handler.send_gossip(action)
+            case Reject():
+                handler.reject(action)
+            case Fail():
+                handler.fail(action)
+            case CancelAttempt():
+                handler.cancel_attempt(action)
+            case CheckHealth():
+                handler.check_health(action)
+            case SubscribeEndpoints():
+                handler.subscribe_endpoints(action)
+
     def _log_errors(self, errors: list[Exception], event_count: int) -> None:
         now_ms = self._clock.now()
         if now_ms < self._next_error_log_ms:
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -134,9 +134,10 @@
     def set_timer(self, action: SetTimer) -> None:
         """Report the timer on the grid of the controller's ticks: timers of one tick share one turn."""
         fired = TimerFired(action.name)
-        due_ms = self.clock.now() + action.after_ms
+        earliest_ms = self.clock.now() + action.after_ms
         tick_ms = max(1.0, self.config.settings.tick_ms)
-        self.timers.at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self.controller_loop.enqueue(fired))
+        due_ms = math.ceil(earliest_ms / tick_ms) * tick_ms
+        self.timers.at(due_ms, lambda: self.controller_loop.enqueue(fired))
 
     def send_gossip(self, action: SendGossip) -> None:
         """Send a datagram to a peer, or to another process of this gateway."""
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -143,7 +143,7 @@
         else:
             request.client.abort_response()
 
-    def on_client_gone(self, request: OpenRequest) -> None:
+    def on_client_disconnected(self, request: OpenRequest) -> None:
         """Close a request whose client has disconnected, and cancel a response that is being forwarded."""
         if not self._close(request):
             return
--- a/tests/network/test_controller_loop.py
+++ b/tests/network/test_controller_loop.py
@@ -94,7 +94,6 @@
     controller = ScriptedController([ACTIONS["fail"]])
     turns = controller_loop(controller, handler, clock)
     handler.fail = lambda action: turns.enqueue(TimerFired("next"))
-    turns = controller_loop(controller, handler, clock)
     turns.enqueue(TimerFired("first"))
     await run_turns()
     assert controller.turns == [[TimerFired("first")], [TimerFired("next")]]
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -173,8 +173,8 @@
     request = guarded(site)
     plain, streaming = site.attempt(request), site.attempt(request)
     request.streaming_attempt = streaming.number
-    site.table.on_client_gone(request)
-    site.table.on_client_gone(request)
+    site.table.on_client_disconnected(request)
+    site.table.on_client_disconnected(request)
     assert site.events == [ClientDisconnected(request.id)]
     assert (plain.ends, streaming.ends) == (["expired"], ["cancelled"])
     assert not answer_ok(site, request)
