--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -8,10 +8,10 @@
 from gateway.interface.events import AttemptEnded, AttemptResult, ResponseStarted
 from gateway.network.admin.metrics import FinalStatus
 from gateway.network.attempt_table import AttemptTable
+from gateway.network.clients.open_request import OpenRequest
 from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clock import Clock
 from gateway.network.controller_loop import EventSink
-from gateway.network.open_request import OpenRequest
 from gateway.network.request_table import RequestTable
 from gateway.network.upstream.attempt import AttemptOutcome, UpstreamAttempt
 from gateway.network.upstream.pool import UpstreamPool
--- a/gateway/network/attempt_table.py
+++ b/gateway/network/attempt_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gateway.network.open_request import OpenRequest
+from gateway.network.clients.open_request import OpenRequest
 from gateway.network.upstream.attempt import UpstreamAttempt
 
 
--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -7,12 +7,12 @@
 from gateway.interface.events import BodyReleased, RequestArrived, RequestCompleted
 from gateway.network.attempt_runner import AttemptRunner
 from gateway.network.clients.connection_limiter import SWEEP_INTERVAL_MS, ConnectionLimiter
+from gateway.network.clients.open_request import OpenRequest
 from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clients.request_handler import HandledConnection
 from gateway.network.clients.request_validator import RequestValidator
 from gateway.network.clock import Clock, Timers
 from gateway.network.controller_loop import EventSink
-from gateway.network.open_request import OpenRequest
 from gateway.network.process_role import ProcessRole, ServicePhase
 from gateway.network.request_table import DEADLINE_MARGIN_MS, RequestTable
 
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -13,6 +13,7 @@
 from gateway.errors import BadRequestError
 from gateway.network.clients.body_progress import BodyProgress
 from gateway.network.clients.connection_state import ConnectionState
+from gateway.network.clients.open_request import OpenRequest
 from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clients.request_events import (
     BodyCompleted,
@@ -29,7 +30,6 @@
 from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clients.response_writer import CONTINUE, ResponseWriter
 from gateway.network.clients.upload import Upload
-from gateway.network.open_request import OpenRequest
 
 # Bytes of a response that wait for the client before its endpoint is no longer read.
 MAX_RESPONSE_BACKLOG_BYTES = 64 * 1024
--- a/gateway/network/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import asyncio
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -9,7 +10,6 @@
 from gateway.network.clients.response_source import ResponseSource
 from gateway.network.clients.upload import Upload
 from gateway.network.clock import Timer
-from gateway.network.upstream.response_sink import ResponseSink
 
 UPSTREAM_HOST = b"api.internal"
 
@@ -17,9 +17,11 @@
 MIN_ATTEMPT_DEADLINE_MS = 1
 
 
-class ClientChannel(ResponseSink, Protocol):
+class ClientChannel(Protocol):
     """The client's connection as the request on it uses it."""
 
+    transport: asyncio.Transport
+
     def send_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
@@ -28,6 +30,9 @@
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
         """Write the head of a response that is forwarded while it is received."""
 
+    def forward(self, part: bytes) -> None:
+        """Write the next part of a forwarded response."""
+
     def finish_response(self) -> None:
         """End a forwarded response that is complete."""
 
--- a/gateway/network/clients/request_handler.py
+++ b/gateway/network/clients/request_handler.py
@@ -5,9 +5,9 @@
 from typing import Protocol
 
 from gateway.network.clients.connection_limiter import LimitedConnection
+from gateway.network.clients.open_request import ClientChannel, OpenRequest
 from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clock import Clock, Timers
-from gateway.network.open_request import ClientChannel, OpenRequest
 
 
 class HandledConnection(LimitedConnection, ClientChannel, Protocol):
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -9,11 +9,11 @@
 from gateway.interface.events import ClientDisconnected
 from gateway.network.admin.metrics import FinalStatus, Metrics
 from gateway.network.attempt_table import AttemptTable
+from gateway.network.clients.open_request import ClientChannel, OpenRequest, upstream_head
 from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clients.request_validator import ValidatedRequest
 from gateway.network.clock import Clock, Timers
 from gateway.network.controller_loop import EventSink
-from gateway.network.open_request import ClientChannel, OpenRequest, upstream_head
 from gateway.network.recent_ids import RecentIds
 
 # Deadline margin, ms: subtracted from the client's deadline, to cover transmission and timer delay.
