--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -114,7 +114,10 @@
         elif self.state is _RECEIVED:
             self.state = _PIPELINED
         elif self.state is not _PIPELINED:
-            self._read(data)
+            try:
+                self._read(data)
+            except Exception:  # an error of the program ends this request only
+                self._on_internal_error()
 
     def eof_received(self) -> None:
         """Close the connection: a client that ends its sending has disconnected.
@@ -148,6 +151,13 @@
             if rejection is not None:
                 self._abort_request(rejection.status)
 
+    def _on_internal_error(self) -> None:
+        """Answer 400, after the response of the open request if that is complete."""
+        if self.state is _RECEIVED:
+            self.state = _PIPELINED
+        else:
+            self._abort_request(HTTPStatus.BAD_REQUEST)
+
     def _handle(self, event: RequestEvent) -> None:
         if self.state is _RECEIVED:
             self.state = _PIPELINED
--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -138,3 +138,12 @@
         client.send(bytes(256 * 1024))
         await client.writer.drain()
     assert (await client.next_response()).status == 413 and await client.is_closed_by_peer()
+
+
+async def test_internal_error_while_reading_gets_a_400(gateway, client, monkeypatch):
+    def fail(*_):
+        raise RuntimeError("an error of the program")
+
+    monkeypatch.setattr(gateway.frontend, "open_request", fail)
+    response = await client.send(http_request()).next_response()
+    assert response.status == 400 and await client.is_closed_by_peer()
