--- a/gateway/__init__.py
+++ b/gateway/__init__.py
@@ -2,6 +2,6 @@
 
 import os
 
-# Before uvloop is loaded: libuv would hand its work to an io_uring whose kernel thread polls without rest.
-# Seen in service: that thread (iou-sqp) alone took the gateway's whole share of a core for seconds on end.
+# Set before uvloop is imported: the kernel thread (iou-sqp) of libuv's io_uring polls continuously and would
+# use the gateway's share of a processor core.
 os.environ["UV_USE_IO_URING"] = "0"
