--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -95,8 +95,8 @@
                 | events.RequestCompleted()
                 | events.ClientDisconnected()
             ):
-                if event.id in self.flow.open:
-                    self._on_request_event(self.flow.open[event.id], event)
+                if event.id in self.flow.open_requests:
+                    self._on_request_event(self.flow.open_requests[event.id], event)
 
     def _on_request_event(self, request: RequestRecord, event: _RequestEvent) -> None:
         """Handle an event of an open request."""
@@ -120,7 +120,7 @@
 
     def _hedge_withdrawn(self) -> None:
         """Hedge the requests in flight at endpoints that stopped being ready in this turn."""
-        self.flow.attempts.hedge_withdrawn(list(self.flow.open.values()), self._withdrawn)
+        self.flow.attempts.hedge_withdrawn(list(self.flow.open_requests.values()), self._withdrawn)
 
     def _on_gossip(self, event: events.GossipReceived) -> None:
         """Handle a datagram; an unreadable one, or one of an unknown sender, has no effect."""
@@ -161,7 +161,7 @@
 
     def _on_timer(self, timer: Timer) -> None:
         if timer.kind in REQUEST_TIMERS:
-            request = self.flow.open.get(timer.subject)
+            request = self.flow.open_requests.get(timer.subject)
             if request is not None and not request.is_streaming:
                 self.flow.on_timer(timer.kind, request)
             return
@@ -187,9 +187,9 @@
 
     def _clean_up(self) -> None:
         """Drop unused accounts, buckets and timers."""
-        self.flow.lease_client.accounts.drop_idle(self.flow.open.values())
+        self.flow.lease_client.accounts.drop_idle(self.flow.open_requests.values())
         self.flow.leader.drop_idle()
-        self.context.timers.compact(self.flow.open)
+        self.context.timers.compact(self.flow.open_requests)
 
     # -- actions at the end of a turn
 
@@ -206,6 +206,6 @@
 
     def _request_wake_up(self) -> None:
         turn = self.context.turn
-        after_ms = self.context.timers.wake_up_in_ms(turn.now_ms, self.flow.open)
+        after_ms = self.context.timers.wake_up_in_ms(turn.now_ms, self.flow.open_requests)
         if after_ms is not None:
             turn.actions.append(SetTimer(after_ms, WAKE_UP_TIMER))
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -35,7 +35,7 @@
         super().__init__(context)
         self._classes = {request_class.name: request_class for request_class in context.settings.classes}
         self._plans = {plan.name: plan for plan in context.settings.plans}
-        self.open: dict[int, RequestRecord] = {}
+        self.open_requests: dict[int, RequestRecord] = {}
         self.attempts = AttemptManager(context)
         self.dispatcher = Dispatcher(context, self.attempts)
         self.leader = QuotaLeader(context, send)
@@ -45,7 +45,7 @@
         """Open a new request: it is admitted, waits for its quota, or is rejected at once."""
         request_class = self._classes.get(arrival.class_name)
         plan = self._plans.get(arrival.plan_name)
-        is_duplicate = arrival.id in self.open
+        is_duplicate = arrival.id in self.open_requests
         is_expired = arrival.deadline_at_ms <= self._turn.now_ms
         if request_class is None or plan is None or is_expired or is_duplicate:
             self._act(Reject(arrival.id))
@@ -53,7 +53,7 @@
         account = self.lease_client.accounts.refill(arrival, plan)
         account.demand += arrival.units
         request = RequestRecord.opened(arrival, request_class, plan, account, self._turn.now_ms)
-        self.open[request.id] = request
+        self.open_requests[request.id] = request
         self._schedule_deadline(request)
         queue_timeout_at_ms = self._queue_timeout_at_ms(request)
         self._schedule(queue_timeout_at_ms, TimerKind.QUEUE_TIMEOUT, request.id)
@@ -82,7 +82,7 @@
         """Handle the end of an attempt: its request is closed, is retried, or gets its final answer."""
         if AttemptKey(event.id, event.attempt) not in self.attempts.table:
             return
-        request = self.open.get(event.id)
+        request = self.open_requests.get(event.id)
         self.attempts.end(event, request)
         if request is None:
             return
@@ -144,7 +144,7 @@
 
     def close(self, request: RequestRecord) -> None:
         """End a request: remove it from all queues and cancel its attempts in flight."""
-        self.open.pop(request.id, None)
+        self.open_requests.pop(request.id, None)
         request.account.in_flight -= not request.awaits_quota
         if request.phase is RequestPhase.QUEUED:
             self.dispatcher.queue.remove(request)
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -28,7 +28,7 @@
     for data in (b"", b"\x00", good[:-1], b"\xff" + good[1:], bytes(300), bytes(bad_kind), *odd):
         assert not sends_in(controller.handle(1001, [GossipReceived(1, data)]))
     controller.handle(1001, [GossipReceived(9, good), GossipReceived(0, good)])
-    assert not controller.flow.leader.buckets and not controller.flow.open
+    assert not controller.flow.leader.buckets and not controller.flow.open_requests
     controller.handle(1001, [GossipReceived(1, good), GossipReceived(1, good)])  # a duplicate counts once
     bucket = controller.flow.leader.buckets[quota_entry(EntryKind.REQUEST).bucket_name]
     assert bucket.level == pytest.approx(12 - 4, abs=0.1)
--- a/tests/policy/quota/test_accounts.py
+++ b/tests/policy/quota/test_accounts.py
@@ -16,7 +16,7 @@
 def drop_idle(controller, now):
     """Let the controller drop idle accounts and buckets as if that time had come."""
     controller.context.turn.now_ms = now
-    controller.flow.lease_client.accounts.drop_idle(controller.flow.open.values())
+    controller.flow.lease_client.accounts.drop_idle(controller.flow.open_requests.values())
     controller.flow.leader.drop_idle()
 
 
@@ -39,7 +39,7 @@
     drop_idle(controller, late)
     assert len(accounts) == 1  # one request is open
 
-    for request in list(controller.flow.open.values()):
+    for request in list(controller.flow.open_requests.values()):
         controller.flow.close(request)
     drop_idle(controller, late + IDLE_RETENTION_MS)
     assert not accounts and not buckets
--- a/tests/policy/quota/test_leader.py
+++ b/tests/policy/quota/test_leader.py
@@ -72,7 +72,7 @@
     actions = controller.handle(1001, [arrival(n, customer="d") for n in range(40)])
     rejected = rejections_in(actions)
     sent = sends_in(actions)
-    queued = [request for request in controller.flow.open.values() if request.awaits_quota]
+    queued = [request for request in controller.flow.open_requests.values() if request.awaits_quota]
     assert len(sent) >= 7 and len(rejected) + len(sent) + len(queued) == 40
     assert len(rejected) > len(queued)
     assert all(one.retry_after_ms >= 250 for one in rejected if one.retry_after_ms)
@@ -82,7 +82,7 @@
         if timers.first_at_ms > 1001 + look.latency_objective_ms * (1 - 0.45) + 10:
             break
         controller.handle(timers.first_at_ms, [])
-    assert not any(request.awaits_quota for request in controller.flow.open.values())
+    assert not any(request.awaits_quota for request in controller.flow.open_requests.values())
 
 
 def test_denied_lease_request_of_a_peer_is_rejected():
@@ -97,7 +97,7 @@
     peer.handle(1000, [SIX_ENDPOINTS])
     first = peer.settings.number + 6 - codec.customer_tag("c") % 2
     peer.handle(1001, [RequestArrived(1, "c", "look", "rated", 5000.0, 1.0, first, 2)])
-    request = peer.flow.open[1]
+    request = peer.flow.open_requests[1]
     assert request.account.leader == 7
     deny = quota_entry(EntryKind.DENY, serial=request.lease_id)
     rejected = rejections_in(peer.handle(1002, [GossipReceived(7, datagram_of(deny))]))
--- a/tests/policy/quota/test_lease_client.py
+++ b/tests/policy/quota/test_lease_client.py
@@ -86,7 +86,7 @@
     ended = attempt_ended(send, AttemptResult.OK)
     actions = controller.handle(1002, [ended, arrival(2), TimerFired("agenda")])
     assert not sends_in(actions)  # one at a time, because the local bucket is in debt
-    assert controller.flow.open[2].lease_requests == 1
+    assert controller.flow.open_requests[2].lease_requests == 1
 
 
 def test_late_replies_are_learned_and_followed_by_optimistic_admission():
@@ -128,7 +128,9 @@
     controller.handle(1000, [SIX_ENDPOINTS, arrival(1)])
     controller.handle(1010, [from_leader(quota_entry(EntryKind.QUEUED, demand_per_s=400.0))])
     rejected = rejections_in(controller.handle(1012, [arrival(n) for n in range(2, 102)]))
-    requested = [request.arrival.id for request in controller.flow.open.values() if request.lease_requests]
+    requested = [
+        request.arrival.id for request in controller.flow.open_requests.values() if request.lease_requests
+    ]
     assert 80 < len(rejected) < 100
     assert all(rejection.retry_after_ms >= 250 for rejection in rejected)
     assert sorted([*requested, *(rejection.id for rejection in rejected)]) == [*range(1, 102)]
--- a/tests/policy/requests/test_request_flow.py
+++ b/tests/policy/requests/test_request_flow.py
@@ -19,7 +19,7 @@
     sends = sends_in(controller.handle(1000, [SIX_ENDPOINTS, arrival(1)]))
     assert [send.id for send in sends] == [1]
     assert not failures_in(controller.handle(1050, [attempt_ended(sends[0], AttemptResult.OK)]))
-    assert not controller.flow.open and not controller.flow.attempts.limiter.in_flight.value
+    assert not controller.flow.open_requests and not controller.flow.attempts.limiter.in_flight.value
 
 
 def test_request_without_endpoints_is_rejected_before_its_deadline():
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -43,7 +43,7 @@
     late = arrival(3, deadline_at_ms=900.0)
     assert rejections_in(controller.handle(1002, [late])) == [Reject(3)]
     controller.handle(1003, [arrival(4)])
-    assert 4 in controller.flow.open  # queued, because there is no endpoint
+    assert 4 in controller.flow.open_requests  # queued, because there is no endpoint
     (send,) = sends_in(controller.handle(1004, [SIX_ENDPOINTS]))
     cancellations = actions_of(CancelAttempt, controller.handle(1005, [ClientDisconnected(4)]))
     assert cancellations == [CancelAttempt(4, 0)]
@@ -54,7 +54,7 @@
         attempt_ended(send, AttemptResult.ERROR, 3),
     ]
     controller.handle(1007, ends)
-    assert controller.flow.attempts.limiter.in_flight.value == 0 and not controller.flow.open
+    assert controller.flow.attempts.limiter.in_flight.value == 0 and not controller.flow.open_requests
 
 
 def test_removed_endpoints_and_timers_of_ended_requests_are_dropped():
@@ -70,7 +70,7 @@
     assert not controller.directory.table.by_id and not controller.directory.table.by_tag
     for n in range(1000):
         controller.context.timers.schedule(600_000.0 + n, TimerKind.DEADLINE, 7)
-    controller.context.timers.compact(controller.flow.open)
+    controller.context.timers.compact(controller.flow.open_requests)
     assert len(controller.context.timers) < 300
 
 
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -126,7 +126,7 @@
     def _send_attempt(self, gateway, action):
         if self.now >= self.cold_start_ms and action.endpoint in self.sent_ms:
             self.sent_ms[action.endpoint].append(self.now)
-        request = self.controllers[gateway].flow.open.get(action.id)
+        request = self.controllers[gateway].flow.open_requests.get(action.id)
         attempt = request.attempts - 1 if request else 0
         if self.rng.random() < FAILURE_PROBABILITY:
             result = AttemptResult.ERROR
