--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -9,7 +9,7 @@
 from gateway.interface.settings import Settings
 from gateway.policy.timers import TimerQueue
 
-PERIOD_MS = 100.0  # interval between two steps of the controllers and averages
+CONTROL_PERIOD_MS = 100.0  # interval between two steps of the controllers and averages
 STALL_PERIODS = 4.0  # periods without a turn after which the process counts as stalled
 INCARNATIONS = 1 << 16  # number of distinct incarnations, which have 16 bits in a datagram
 
@@ -26,7 +26,9 @@
     def start(self, now_ms: float) -> None:
         """Start the next turn, with no actions yet."""
         previous_ms = self.started_at_ms
-        self.follows_stall = previous_ms is not None and previous_ms < now_ms - STALL_PERIODS * PERIOD_MS
+        self.follows_stall = (
+            previous_ms is not None and previous_ms < now_ms - STALL_PERIODS * CONTROL_PERIOD_MS
+        )
         self.now_ms = now_ms
         self.started_at_ms = now_ms
         self.actions = []
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -6,7 +6,7 @@
 from gateway.interface import events
 from gateway.interface.actions import Action, SendGossip, SetTimer, SubscribeEndpoints
 from gateway.interface.settings import Settings
-from gateway.policy.context import PERIOD_MS, PolicyContext
+from gateway.policy.context import CONTROL_PERIOD_MS, PolicyContext
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.gossip.pace import GossipPace
 from gateway.policy.quota.leader_bucket import LeaseKey
@@ -73,7 +73,7 @@
         self._withdrawn = []
         if is_first:
             self.context.role.started_at_ms = now_ms
-            timers.schedule(now_ms, TimerKind.PERIOD)
+            timers.schedule(now_ms, TimerKind.CONTROL_PERIOD)
             timers.schedule(now_ms, TimerKind.SUBSCRIBE)
 
     # -- events
@@ -166,7 +166,7 @@
                 self.flow.on_timer(timer.kind, request)
             return
         match timer.kind:
-            case TimerKind.PERIOD:
+            case TimerKind.CONTROL_PERIOD:
                 self._step()
             case TimerKind.LEADER_SERVE:
                 self.flow.leader.on_timer(timer.subject)
@@ -176,7 +176,7 @@
     def _step(self) -> None:
         """Advance all controllers and averages by one period."""
         now_ms = self.context.turn.now_ms
-        self.context.timers.schedule(now_ms + PERIOD_MS, TimerKind.PERIOD)
+        self.context.timers.schedule(now_ms + CONTROL_PERIOD_MS, TimerKind.CONTROL_PERIOD)
         self.flow.dispatcher.step()
         self.pace.step()
         self.selector.step()
--- a/gateway/policy/dispatch/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -2,7 +2,7 @@
 
 import math
 
-from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
+from gateway.policy.context import CONTROL_PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import CountWithMean, decay
 
 INITIAL_PER_ENDPOINT = 12.0  # attempts per ready endpoint, over all gateways, before the first responses
@@ -58,8 +58,8 @@
 
     def step(self, capacity: float) -> None:
         """Update the limit for the next period; `capacity` is as in `update_limit`."""
-        remaining = decay(PERIOD_MS, MEMORY_MS)
-        period_target = self._answered_ms * SERVICE_FRACTION / PERIOD_MS
+        remaining = decay(CONTROL_PERIOD_MS, MEMORY_MS)
+        period_target = self._answered_ms * SERVICE_FRACTION / CONTROL_PERIOD_MS
         self.target = self.target * remaining + period_target * (1 - remaining)
         self._answered_ms = 0.0
         self.count(0)
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -3,7 +3,7 @@
 import math
 
 from gateway.interface.events import EndpointState, EndpointUpdate
-from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
+from gateway.policy.context import CONTROL_PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.endpoints.endpoint_table import EndpointTable
@@ -44,7 +44,7 @@
 
     def step(self) -> None:
         """Advance slow start and the reference capacity by one period, and drop removed endpoints."""
-        decayed = self.reference_capacity * decay(PERIOD_MS, REFERENCE_MEMORY_MS)
+        decayed = self.reference_capacity * decay(CONTROL_PERIOD_MS, REFERENCE_MEMORY_MS)
         self.reference_capacity = max(self._min_reference_capacity, decayed)
         if self.starting:
             self._sort_ready()
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -11,7 +11,7 @@
     Idempotency,
     RequestClass,
 )
-from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
+from gateway.policy.context import CONTROL_PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
 from gateway.policy.endpoints.directory import EndpointDirectory
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
@@ -47,7 +47,7 @@
         """Advance the directory, the lottery and the count of sends by one period."""
         self.directory.step()
         self._lottery.step()
-        self.recent_sends *= decay(PERIOD_MS, REPORT_MEMORY_MS)
+        self.recent_sends *= decay(CONTROL_PERIOD_MS, REPORT_MEMORY_MS)
 
     def on_load_report(self, endpoint: EndpointRecord, load: tuple[float, ...]) -> None:
         """Update the load of an endpoint by the report in one of its responses."""
--- a/gateway/policy/endpoints/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -7,7 +7,7 @@
 
 from gateway.interface.events import Endpoint
 from gateway.interface.settings import Settings
-from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
+from gateway.policy.context import CONTROL_PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.requests.request_record import RequestRecord
@@ -35,7 +35,7 @@
 
     def step(self) -> None:
         """Let the counts decay by one period."""
-        remaining = decay(PERIOD_MS, DRAW_MEMORY_MS)
+        remaining = decay(CONTROL_PERIOD_MS, DRAW_MEMORY_MS)
         self._requests = self._requests * remaining
         self._draws = self._draws * remaining
 
--- a/gateway/policy/gossip/pace.py
+++ b/gateway/policy/gossip/pace.py
@@ -6,7 +6,7 @@
 
 import math
 
-from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
+from gateway.policy.context import CONTROL_PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import NEVER_MS, decay
 from gateway.policy.gossip.outbox import EntryOutbox, OutgoingMessage
 from gateway.policy.timers import TimerKind
@@ -33,7 +33,7 @@
 
     def step(self) -> None:
         """Let the count of received messages decay by one period."""
-        self._received *= decay(PERIOD_MS, ACTIVE_PEER_MS)
+        self._received *= decay(CONTROL_PERIOD_MS, ACTIVE_PEER_MS)
 
     def take(self) -> list[OutgoingMessage]:
         """Return the messages to send now, and schedule a timer for entries that remain."""
--- a/gateway/policy/quota/leader.py
+++ b/gateway/policy/quota/leader.py
@@ -3,7 +3,7 @@
 import math
 
 from gateway.gossip.codec import EntryKind, QuotaEntry
-from gateway.policy.context import PERIOD_MS, PolicyComponent, PolicyContext
+from gateway.policy.context import CONTROL_PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.dispatch.latency import max_wait_ms
 from gateway.policy.quota.accounts import IDLE_RETENTION_MS
 from gateway.policy.quota.ceiling import LEADER_CEILING_FRACTION, initial_ceiling_level
@@ -144,7 +144,7 @@
         ready_at_ms = self._turn.now_ms + wait_s * 1000
         if bucket.plan.rate_per_s and not bucket.plan.max_in_flight:
             self._deny_unreachable(bucket)
-        is_scheduled = self._turn.now_ms < bucket.serve_at_ms <= ready_at_ms + PERIOD_MS
+        is_scheduled = self._turn.now_ms < bucket.serve_at_ms <= ready_at_ms + CONTROL_PERIOD_MS
         if bucket.queue and not is_scheduled:
             bucket.serve_at_ms = ready_at_ms + self._settings.tick_ms
             self._schedule(bucket.serve_at_ms, TimerKind.LEADER_SERVE, bucket.name)
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -15,7 +15,7 @@
 class TimerKind(IntEnum):
     """What a timer is for."""
 
-    PERIOD = auto()  # the next step of all controllers and averages
+    CONTROL_PERIOD = auto()  # the next step of all controllers and averages
     SUBSCRIBE = auto()  # the next subscription to endpoint updates
     GOSSIP_FLUSH = auto()  # the entries of a delayed gossip message may be sent
     LEADER_SERVE = auto()  # a bucket of the quota leader has enough units for the head of its queue
--- a/tests/policy/test_context.py
+++ b/tests/policy/test_context.py
@@ -4,7 +4,7 @@
 from support.policy_settings import settings
 
 from gateway.interface.actions import SubscribeEndpoints
-from gateway.policy.context import PERIOD_MS, STALL_PERIODS, PolicyContext, Turn
+from gateway.policy.context import CONTROL_PERIOD_MS, STALL_PERIODS, PolicyContext, Turn
 
 
 def test_first_turn_follows_no_stall():
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize(
     ("pause_ms", "is_stall"),
-    [(0.0, False), (STALL_PERIODS * PERIOD_MS, False), (STALL_PERIODS * PERIOD_MS + 1, True)],
+    [(0.0, False), (STALL_PERIODS * CONTROL_PERIOD_MS, False), (STALL_PERIODS * CONTROL_PERIOD_MS + 1, True)],
 )
 def test_turn_after_a_long_pause_follows_a_stall(pause_ms, is_stall):
     turn = Turn()
