--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -11,7 +11,7 @@
 
 CONTROL_PERIOD_MS = 100.0  # interval between two steps of the controllers and averages
 STALL_PERIODS = 4.0  # periods without a turn after which the process counts as stalled
-INCARNATIONS = 1 << 16  # number of distinct incarnations, which have 16 bits in a datagram
+INCARNATION_COUNT = 1 << 16  # number of distinct incarnations, which have 16 bits in a datagram
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         self.rng = random.Random(seed)
         self.turn = Turn()
         self.timers = TimerQueue()
-        self.role = ProcessRole(self.rng.randrange(INCARNATIONS))
+        self.role = ProcessRole(self.rng.randrange(INCARNATION_COUNT))
 
 
 class PolicyComponent:
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -5,7 +5,7 @@
 sends its lease requests to the successor where this gateway is the customer's quota leader.
 """
 
-from gateway.policy.context import INCARNATIONS
+from gateway.policy.context import INCARNATION_COUNT
 from gateway.policy.controller import Controller
 from gateway.policy.quota.leader_bucket import LeaderBucket
 from gateway.policy.quota.lease_table import MAX_LEASE_ID
@@ -52,7 +52,9 @@
     role = controller.context.role
     role.has_sibling = True
     role.started_at_ms = state.started_at_ms + shift_ms
-    role.incarnation = (state.incarnation + 1) % INCARNATIONS  # differs from the predecessor's for any seed
+    role.incarnation = (
+        state.incarnation + 1
+    ) % INCARNATION_COUNT  # differs from the predecessor's for any seed
     lease_client = controller.flow.lease_client
     lease_client.leases.last_id = (state.last_lease_id + LEASE_ID_DISTANCE) % MAX_LEASE_ID
     lease_client.reply_ms = state.lease_reply_ms
