--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -102,7 +102,7 @@
         """Handle an event of an open request."""
         match event:
             case events.ResponseStarted():
-                if request.attempts:
+                if request.attempts_sent:
                     self.flow.on_response_started(request, event)
             case events.BodyReleased():
                 request.body_released = True
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -111,7 +111,7 @@
         self.leases.remove(request)
         if request.lease_requests and not request.leader_replied:
             self._learn_missing_reply(request)
-        if request.units_drawn and (not request.attempts or request.plan.max_in_flight):
+        if request.units_drawn and (not request.attempts_sent or request.plan.max_in_flight):
             self._send_to_leader(EntryKind.RETURN, request)
 
     def _admit_locally(self, request: RequestRecord) -> bool:
--- a/gateway/policy/requests/attempt_table.py
+++ b/gateway/policy/requests/attempt_table.py
@@ -44,15 +44,15 @@
 
     def add(self, request: RequestRecord, endpoint: EndpointRecord, now_ms: float) -> AttemptKey:
         """Add a request's next attempt, which counts as executing at its endpoint."""
-        key = AttemptKey(request.id, request.attempts)
+        key = AttemptKey(request.id, request.attempts_sent)
         self._records[key] = AttemptRecord(endpoint, request.request_class)
         endpoint.in_flight += 1
-        request.in_flight[request.attempts] = endpoint
+        request.in_flight[request.attempts_sent] = endpoint
         request.tried.append(endpoint)
         if not request.possibly_executed:
             request.key_endpoint = endpoint.entry
             request.key_sent_at_ms = now_ms
-        request.attempts += 1
+        request.attempts_sent += 1
         request.possibly_executed += 1
         return key
 
--- a/gateway/policy/requests/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -43,9 +43,9 @@
     def start(self, request: RequestRecord) -> bool:
         """Send a request to one more endpoint; return False where none is eligible."""
         endpoint = self.selector.choose(request, self._eligible(request))
-        if endpoint is None or request.attempts >= self._settings.max_attempts:
+        if endpoint is None or request.attempts_sent >= self._settings.max_attempts:
             return False
-        if request.attempts == 0:
+        if request.attempts_sent == 0:
             self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
         timeout_ms = max(MIN_ATTEMPT_TIMEOUT_MS, request.arrival.deadline_at_ms - self._turn.now_ms)
         send_by_ms = self.resend_deadline_ms(request)
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -66,7 +66,7 @@
         request.arrival = replace(request.arrival, deadline_at_ms=event.deadline_at_ms)
         request.objective_at_ms = self._turn.now_ms + request.request_class.latency_objective_ms
         self._schedule_deadline(request)
-        if request.attempts:
+        if request.attempts_sent:
             for number in request.in_flight:
                 self.attempts.set_executing(AttemptKey(request.id, number), True)
             self.attempts.schedule_hedge(request)
@@ -118,7 +118,7 @@
                     self.dispatcher.enqueue(request)
             case TimerKind.LEASE_EXPIRED:
                 self.on_lease_reply(request, EntryKind.DENY)
-            case _ if request.attempts and not request.is_complete:
+            case _ if request.attempts_sent and not request.is_complete:
                 pass  # the objective and the deadline count from the request's last byte
             case TimerKind.HEDGE:
                 self.attempts.hedge(request)
@@ -157,7 +157,7 @@
             self.dispatcher.enqueue(request)
             # If the request cannot be dispatched in this turn, the next queue timeout gives it up.
             self._schedule(self._turn.now_ms + self._settings.tick_ms, TimerKind.QUEUE_TIMEOUT, request.id)
-        elif request.attempts == 0:
+        elif request.attempts_sent == 0:
             self.give_up(request)
 
     def _schedule_deadline(self, request: RequestRecord) -> None:
--- a/gateway/policy/requests/request_record.py
+++ b/gateway/policy/requests/request_record.py
@@ -36,7 +36,7 @@
     is_complete: bool = True  # the last byte has been received
     body_released: bool = False  # the start of the body has been discarded, so no further attempt is possible
     # Attempts.
-    attempts: int = 0  # number of attempts sent
+    attempts_sent: int = 0  # number of attempts sent
     in_flight: dict[int, EndpointRecord] = field(default_factory=dict)  # endpoints by attempt number
     tried: list[EndpointRecord] = field(default_factory=list)  # endpoints of all attempts
     possibly_executed: int = 0  # attempts that are not proved never to have been executed
--- a/tests/policy/endpoints/test_outlier_detection.py
+++ b/tests/policy/endpoints/test_outlier_detection.py
@@ -37,7 +37,7 @@
         while sends:
             send = sends.pop()
             sent.append(send.endpoint)
-            attempt = controller.flow.open_requests[send.id].attempts - 1
+            attempt = controller.flow.open_requests[send.id].attempts_sent - 1
             outcome = result if send.endpoint == "s2" else AttemptResult.OK
             sends += sends_in(controller.handle(now + 2, [attempt_ended(send, outcome, attempt)]))
     assert sent.count("s2") < len(sent) / 15
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -127,7 +127,7 @@
         if self.now >= self.cold_start_ms and action.endpoint in self.sent_ms:
             self.sent_ms[action.endpoint].append(self.now)
         request = self.controllers[gateway].flow.open_requests.get(action.id)
-        attempt = request.attempts - 1 if request else 0
+        attempt = request.attempts_sent - 1 if request else 0
         if self.rng.random() < FAILURE_PROBABILITY:
             result = AttemptResult.ERROR
             duration_ms = FAILED_MS
