--- a/gateway/policy/dispatch/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -10,9 +10,9 @@
 SERVICE_FRACTION = 0.25  # fraction of a class's objective that attempts may spend at endpoints on average
 MAX_PEAK_GROWTH = 2.0  # upper bound as a multiple of the recent peak
 OVERLOAD_THRESHOLD = 0.15  # fraction of attempts refused as overloaded above which the limit is cut
-OVERLOAD_CUT = 0.75  # factor applied to the limit in each period with overload
-MIN_CUT = 0.3  # lower bound of the accumulated cut
-CUT_RECOVERY = 1.05  # factor by which a cut recovers in each period without overload
+OVERLOAD_DECREASE = 0.75  # factor applied to the limit in each period with overload
+MIN_OVERLOAD_FACTOR = 0.3  # lower bound of the accumulated cut
+OVERLOAD_RECOVERY = 1.05  # factor by which a cut recovers in each period without overload
 MEMORY_MS = 1000.0  # time constant of the counts of responses and of attempts in flight
 PRIOR_RESPONSES = 5  # own responses at which the fleet's mean and the own target weigh the same
 MIN_SLACK = 1.5  # attempts by which the limit may be exceeded while the mean in flight is below it
@@ -34,7 +34,7 @@
         self.target = 0.0  # attempts in flight that correspond to the recent rate of responses
         self.peer_target = 0.0  # moving average of the peers' targets
         self.peak = 0.0  # decaying maximum of the attempts in flight
-        self.cut = 1.0  # fraction of the target that remains after overload
+        self.overload_factor = 1.0  # fraction of the target that remains after overload
         self._answered_ms = 0.0  # sum of the objectives of the responses in this period
         self._overloaded = 0.0  # decaying count of attempts refused as overloaded
         self._ended = 0.0  # decaying count of attempts that ended
@@ -64,7 +64,7 @@
         self._answered_ms = 0.0
         self.count(0)
         self.peak = max(float(self.in_flight.value), self.peak * remaining)
-        self._update_cut()
+        self._update_overload_factor()
         self._overloaded = self._overloaded * remaining * remaining
         self._ended = self._ended * remaining * remaining
         self.update_limit(capacity)
@@ -74,10 +74,12 @@
         share = capacity / self._settings.gateways
         target = self._blended_target()
         if not target:
-            self.limit = INITIAL_PER_ENDPOINT * share * self.cut
+            self.limit = INITIAL_PER_ENDPOINT * share * self.overload_factor
             return
         upper_bound = MAX_PEAK_GROWTH * max(self.peak, INITIAL_PER_ENDPOINT * share)
-        self.limit = max(MIN_PER_ENDPOINT * share * self.cut, min(target * self.cut, upper_bound))
+        self.limit = max(
+            MIN_PER_ENDPOINT * share * self.overload_factor, min(target * self.overload_factor, upper_bound)
+        )
 
     def available(self) -> float:
         """Return how many more attempts may be in flight.
@@ -92,12 +94,12 @@
         slack = max(MIN_SLACK, deviation) if is_within else 0.0
         return self.limit + slack - self.in_flight.value
 
-    def _update_cut(self) -> None:
+    def _update_overload_factor(self) -> None:
         """Cut the limit while the endpoints are overloaded, else let the cut recover."""
         if self._overloaded > OVERLOAD_THRESHOLD * self._ended:
-            self.cut = max(MIN_CUT, self.cut * OVERLOAD_CUT)
+            self.overload_factor = max(MIN_OVERLOAD_FACTOR, self.overload_factor * OVERLOAD_DECREASE)
         else:
-            self.cut = min(1.0, self.cut * CUT_RECOVERY)
+            self.overload_factor = min(1.0, self.overload_factor * OVERLOAD_RECOVERY)
 
     def _blended_target(self) -> float:
         """Return the own target, raised towards the peers' mean by the lack of own responses."""
--- a/gateway/policy/state_transfer/snapshots.py
+++ b/gateway/policy/state_transfer/snapshots.py
@@ -212,7 +212,7 @@
     @classmethod
     def of(cls, limiter: ConcurrencyLimiter) -> LimiterSnapshot:
         """Return the snapshot of a limiter."""
-        return cls(limiter.peak, limiter.cut, limiter.target, limiter.peer_target)
+        return cls(limiter.peak, limiter.overload_factor, limiter.target, limiter.peer_target)
 
     @classmethod
     def from_json(cls, value: dict[str, Any]) -> LimiterSnapshot:
@@ -236,7 +236,7 @@
     def restore(self, limiter: ConcurrencyLimiter) -> None:
         """Copy the values into a limiter."""
         limiter.peak = self.peak
-        limiter.cut = self.cut
+        limiter.overload_factor = self.cut
         limiter.target = self.target
         limiter.peer_target = self.peer_target
 
--- a/tests/policy/endpoints/test_outlier_detection.py
+++ b/tests/policy/endpoints/test_outlier_detection.py
@@ -41,7 +41,7 @@
             outcome = result if send.endpoint == "s2" else AttemptResult.OK
             sends += sends_in(controller.handle(now + 2, [attempt_ended(send, outcome, attempt)]))
     assert sent.count("s2") < len(sent) / 15
-    assert controller.flow.attempts.limiter.cut == 1.0
+    assert controller.flow.attempts.limiter.overload_factor == 1.0
 
 
 def names_with_one_tag():
