--- a/gateway/interface/settings.py
+++ b/gateway/interface/settings.py
@@ -104,7 +104,7 @@
     """The settings of a gateway. Raises SettingsError for an invalid value."""
 
     gateways: int  # number of gateways in the fleet
-    number: int  # number of this gateway, from 0
+    gateway_number: int  # number of this gateway, from 0
     zone: str
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
@@ -139,7 +139,7 @@
         _require_at_least(1, gateways=self.gateways, max_attempts=self.max_attempts)
         _require_at_least(
             0,
-            number=self.number,
+            gateway_number=self.gateway_number,
             slow_start_ms=self.slow_start_ms,
             slow_start_floor=self.slow_start_floor,
             overload_multiple=self.overload_multiple,
@@ -148,5 +148,7 @@
             gossip_inbox_per_s=self.gossip_inbox_per_s,
             drain_grace_ms=self.drain_grace_ms,
         )
-        if self.number >= self.gateways:
-            raise SettingsError("number", f"{self.number} is not below gateways ({self.gateways})")
+        if self.gateway_number >= self.gateways:
+            raise SettingsError(
+                "gateway_number", f"{self.gateway_number} is not below gateways ({self.gateways})"
+            )
--- a/gateway/interface/settings_reader.py
+++ b/gateway/interface/settings_reader.py
@@ -142,7 +142,7 @@
 
 _SETTINGS_FIELDS = (
     _Field("gateways", "balancers", JsonObject.integer),
-    _Field("number", "myNumber", JsonObject.integer),
+    _Field("gateway_number", "myNumber", JsonObject.integer),
     _Field("zone", "locality", JsonObject.text, ""),
     _Field("classes", "classes", _request_classes),
     _Field("plans", "packages", _plans),
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -141,7 +141,7 @@
 
     def send_gossip(self, action: SendGossip) -> None:
         """Send a datagram to a peer, or to another process of this gateway."""
-        if action.receiver != self.config.settings.number:
+        if action.receiver != self.config.settings.gateway_number:
             self.gossip_socket.send(action.receiver, action.data)
             return
         sibling = self.role.sibling
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -29,7 +29,9 @@
         self._config = config
         self._on_message = on_message
         self._numbers = {
-            address: number for number, address in enumerate(config.peers) if number != config.settings.number
+            address: number
+            for number, address in enumerate(config.peers)
+            if number != config.settings.gateway_number
         }
         self._loop: asyncio.AbstractEventLoop | None = None
         self._socket: socket.socket | None = None
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -125,7 +125,7 @@
     def _on_gossip(self, event: events.GossipReceived) -> None:
         """Handle a datagram; an unreadable one, or one of an unknown sender, has no effect."""
         message = decode(event.data)
-        is_own = event.sender == self.settings.number and not self.context.role.has_sibling
+        is_own = event.sender == self.settings.gateway_number and not self.context.role.has_sibling
         if message is None or event.sender >= self.settings.gateways or is_own:
             return
         self.pace.on_received(event.sender)
@@ -141,7 +141,7 @@
     def _send_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
         """Send an entry to a gateway; one to this process is handled at once."""
         role = self.context.role
-        is_own = gateway == self.settings.number and not role.is_retired
+        is_own = gateway == self.settings.gateway_number and not role.is_retired
         if is_own and incarnation in (None, role.incarnation):
             self._on_entry(gateway, role.incarnation, entry)
         elif self.settings.may_gossip:
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -59,7 +59,7 @@
         length = math.ceil(len(endpoints) * GATEWAYS_PER_ENDPOINT / gateways)
         if length >= len(endpoints):
             return endpoints
-        return arc(mixed_ring(endpoints), length, self._settings.number, gateways)
+        return arc(mixed_ring(endpoints), length, self._settings.gateway_number, gateways)
 
     def _sort_ready(self) -> None:
         """Sort the ready endpoints into the lists, and update both capacities."""
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -53,7 +53,7 @@
         """
         account = request.account
         plan = request.plan
-        is_too_late = self.reply_ms > max_wait_ms and account.leader != self._settings.number
+        is_too_late = self.reply_ms > max_wait_ms and account.leader != self._settings.gateway_number
         needed_units = 0.0 if is_too_late else request.arrival.units
         has_only_rate_quota = plan.rate_per_s and not plan.max_in_flight
         if has_only_rate_quota and needed_units <= account.quota_level and self._admit_locally(request):
@@ -155,7 +155,7 @@
     def _learn_reply_time(self, sender: int, request: RequestRecord) -> None:
         """Update the expected reply time by a first reply; this gateway's own replies take no time."""
         is_first_reply = request.lease_requests == 1 and not request.leader_replied
-        if is_first_reply and sender != self._settings.number:
+        if is_first_reply and sender != self._settings.gateway_number:
             elapsed_ms = self._turn.now_ms - request.lease_requested_at_ms
             self.reply_ms += (elapsed_ms - self.reply_ms) * LATENCY_GAIN
 
--- a/tests/interface/test_settings_reader.py
+++ b/tests/interface/test_settings_reader.py
@@ -12,7 +12,7 @@
         (dict(classes=()), "classes"),
         (dict(plans=()), "plans"),
         (dict(gateways=0), "gateways"),
-        (dict(number=3), "number"),
+        (dict(gateway_number=3), "gateway_number"),
         (dict(max_attempts=0), "max_attempts"),
         (dict(slow_start_ms=-1), "slow_start_ms"),
     ],
--- a/tests/policy/endpoints/test_directory.py
+++ b/tests/policy/endpoints/test_directory.py
@@ -26,7 +26,8 @@
 def preferences(gateways, endpoints):
     """Return the endpoints that each gateway of such a fleet prefers."""
     directories = [
-        EndpointDirectory(PolicyContext(settings(number=n, gateways=gateways), 1)) for n in range(gateways)
+        EndpointDirectory(PolicyContext(settings(gateway_number=n, gateways=gateways), 1))
+        for n in range(gateways)
     ]
     return [directory.preferred_subset(endpoints) for directory in directories]
 
--- a/tests/policy/endpoints/test_slow_start.py
+++ b/tests/policy/endpoints/test_slow_start.py
@@ -31,7 +31,7 @@
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 50_000.0)
     count = 0
     for n in range(400):
-        controller = Controller(settings(number=n, gateways=400, may_gossip=False), n)
+        controller = Controller(settings(gateway_number=n, gateways=400, may_gossip=False), n)
         controller.handle(50_000, [EndpointUpdate((*SIX_ENDPOINTS.endpoints, cold))])
         burst = [RequestArrived(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
         count += sum(send.endpoint == "cold" for send in sends_in(controller.handle(52_000, burst)))
@@ -53,7 +53,7 @@
 def sends_while_an_endpoint_starts(seed):
     """Return the times and the endpoints of all attempts of three gateways."""
     rng = random.Random(seed)
-    controllers = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
+    controllers = {n: Controller(settings(gateway_number=n), rng.randrange(1 << 30)) for n in range(3)}
     now = 50_000.0
     request_id = 0
     sends = []
--- a/tests/policy/gossip/test_pace.py
+++ b/tests/policy/gossip/test_pace.py
@@ -15,7 +15,7 @@
 
 
 def test_only_the_leader_is_notified_and_only_of_changes():
-    controller = new_controller(number=(leader_of("c") + 1) % 3)
+    controller = new_controller(gateway_number=(leader_of("c") + 1) % 3)
     controller.handle(1000, [SIX_ENDPOINTS])
     receivers = []
     for now in range(1004, 3000, 4):
@@ -26,7 +26,7 @@
 
 
 def test_busy_gateways_do_not_fill_each_others_inboxes():
-    controller = new_controller(gateways=4, number=0, gossip_inbox_per_s=40)
+    controller = new_controller(gateways=4, gateway_number=0, gossip_inbox_per_s=40)
     receivers = []
     controller.handle(1000, [SIX_ENDPOINTS])
     for serial, now in enumerate(range(1005, 6000, 5), 1):
@@ -42,7 +42,7 @@
 
 
 def test_entries_beyond_one_message_go_with_the_next():
-    controller = new_controller(number=(leader_of("c") + 1) % 3)
+    controller = new_controller(gateway_number=(leader_of("c") + 1) % 3)
     actions = controller.handle(1000, [SIX_ENDPOINTS, *(arrival(n, "seat") for n in range(1, 51))])
     lease_ids = []
     now = 1000.0
--- a/tests/policy/quota/test_accounts.py
+++ b/tests/policy/quota/test_accounts.py
@@ -21,7 +21,7 @@
 
 
 def test_account_is_dropped_only_when_full_and_without_open_requests():
-    controller = new_controller(gateways=1, number=0)
+    controller = new_controller(gateways=1, gateway_number=0)
     controller.handle(1000, [SIX_ENDPOINTS])
     accounts = controller.flow.lease_client.accounts.by_key
     buckets = controller.flow.leader.buckets
@@ -46,7 +46,7 @@
 
 
 def test_request_with_another_plan_in_a_customers_name_has_its_own_account():
-    controller = new_controller(gateways=1, number=0)
+    controller = new_controller(gateways=1, gateway_number=0)
     controller.handle(1000, [SIX_ENDPOINTS, arrival(1, plan_name="open"), arrival(2)])
     accounts = controller.flow.lease_client.accounts.by_key.values()
     assert sorted(account.plan.name for account in accounts) == ["open", "rated"]
--- a/tests/policy/quota/test_ceilings.py
+++ b/tests/policy/quota/test_ceilings.py
@@ -32,7 +32,7 @@
     granted = []
     ceiling = Ceiling(now)
     for incarnation in range(6):
-        controller = Controller(settings(number=number, gateways=gateways), incarnation)
+        controller = Controller(settings(gateway_number=number, gateways=gateways), incarnation)
         events = [SIX_ENDPOINTS]
         for step in range(0, 1000, 20):
             sends = sends_in(controller.handle(now + step, [TimerFired("agenda"), *events]))
@@ -50,14 +50,14 @@
 def test_ceiling_beside_an_in_flight_quota_starts_empty():
     """A quota of requests in flight does not bound the requests forwarded before the start."""
     plans = (Plan("capped", max_in_flight=4, ceiling_per_s=4, ceiling_burst=40, ceiling_slack=2),)
-    controller = new_controller(number=leader_of("k"), plans=plans)
+    controller = new_controller(gateway_number=leader_of("k"), plans=plans)
     controller.handle(1000, [SIX_ENDPOINTS])
     assert not sends_in(controller.handle(1001, [arrival(1, "seat", "capped", customer="k")]))
     assert sends_in(controller.handle(1400, [TimerFired("agenda")]))
 
 
 def test_ceiling_fills_from_the_gateways_start():
-    controller = new_controller(number=leader_of("k"))
+    controller = new_controller(gateway_number=leader_of("k"))
     controller.handle(1000, [SIX_ENDPOINTS])
     now = 1000.0
     while now < 4000:
@@ -69,7 +69,7 @@
 
 def test_local_share_of_a_ceiling_fills_from_the_gateways_start():
     """Its quota leader is silent, and optimistic admission does not wait for the ceiling."""
-    controller = new_controller(number=(leader_of("k") + 1) % 3)
+    controller = new_controller(gateway_number=(leader_of("k") + 1) % 3)
     now = 1000.0
     sent = []
     controller.handle(now, [SIX_ENDPOINTS])
@@ -82,7 +82,7 @@
 
 def test_leader_can_grant_all_of_a_quota_under_a_ceiling():
     plan = Plan("capped", 4, 12, ceiling_per_s=7.6, ceiling_burst=22.8, ceiling_slack=2)
-    controller = new_controller(number=leader_of("k"), plans=(plan,))
+    controller = new_controller(gateway_number=leader_of("k"), plans=(plan,))
     sent = 0
     serial = 0
     now = 1000.0
--- a/tests/policy/quota/test_leader.py
+++ b/tests/policy/quota/test_leader.py
@@ -26,7 +26,7 @@
 def test_in_flight_quota_holds_over_all_gateways():
     number = leader_of("o")
     peer = (number + 1) % 3
-    controller = new_controller(number=number)
+    controller = new_controller(gateway_number=number)
     requests = [quota_entry(EntryKind.REQUEST, "o", n, plan_index=2) for n in (1, 2, 3)]
     controller.handle(1000, [SIX_ENDPOINTS, GossipReceived(peer, datagram_of(*requests))])
     arrivals = [arrival(n, plan_name="open", customer="o") for n in range(1, 9)]
@@ -37,7 +37,7 @@
 
 def test_leader_grants_no_more_than_the_quota_to_all_gateways():
     """The lease request of each of 300 gateways arrives twice."""
-    controller = new_controller(gateways=300, number=7)
+    controller = new_controller(gateways=300, gateway_number=7)
     controller.handle(1000, [SIX_ENDPOINTS])
     request = quota_entry(EntryKind.REQUEST, serial=9)
     granted = set()
@@ -53,7 +53,7 @@
 
 def granted_leases(kind, class_index):
     """Return how many of 15 lease requests of one kind and class a leader grants at once."""
-    controller = new_controller(gateways=300, number=7)
+    controller = new_controller(gateways=300, gateway_number=7)
     controller.handle(1000, [SIX_ENDPOINTS])
     requests = [quota_entry(kind, serial=n, class_index=class_index) for n in range(1, 16)]
     controller.handle(1001, [GossipReceived(1, datagram_of(*requests))])
@@ -67,7 +67,7 @@
 
 
 def test_hopeless_lease_request_is_denied_as_soon_as_it_is_certain():
-    controller = new_controller(gateways=1, number=0, plans=(Plan("rated", 4, 12, overage_cost=0.5),))
+    controller = new_controller(gateways=1, gateway_number=0, plans=(Plan("rated", 4, 12, overage_cost=0.5),))
     controller.handle(1000, [SIX_ENDPOINTS])
     actions = controller.handle(1001, [arrival(n, customer="d") for n in range(40)])
     rejected = rejections_in(actions)
@@ -87,7 +87,7 @@
 
 def test_denied_lease_request_of_a_peer_is_rejected():
     plans = (Plan("rated", 4, 12, overage_cost=0.5),)
-    leader, peer = (new_controller(gateways=300, number=number, plans=plans) for number in (7, 1))
+    leader, peer = (new_controller(gateways=300, gateway_number=number, plans=plans) for number in (7, 1))
     leader.handle(1000, [SIX_ENDPOINTS])
     requests = [quota_entry(EntryKind.REQUEST, serial=n) for n in range(1, 16)]
     replies = datagrams_in(leader.handle(1001, [GossipReceived(1, datagram_of(*requests))]))
@@ -95,7 +95,7 @@
     assert EntryKind.DENY in kinds and EntryKind.GRANT in kinds
 
     peer.handle(1000, [SIX_ENDPOINTS])
-    first = peer.settings.number + 6 - codec.customer_tag("c") % 2
+    first = peer.settings.gateway_number + 6 - codec.customer_tag("c") % 2
     peer.handle(1001, [RequestArrived(1, "c", "look", "rated", 5000.0, 1.0, first, 2)])
     request = peer.flow.open[1]
     assert request.account.leader == 7
@@ -105,7 +105,9 @@
 
 
 def test_full_bucket_serves_any_weight_despite_the_reserve():
-    controller = new_controller(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, overage_cost=0.5),))
+    controller = new_controller(
+        gateways=1, gateway_number=0, plans=(Plan("rated", 0.5, 2, overage_cost=0.5),)
+    )
     retry = RequestArrived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_client_retry=True)
     sends = sends_in(controller.handle(1000, [SIX_ENDPOINTS, retry]))
     assert [send.id for send in sends] == [1]
--- a/tests/policy/quota/test_lease_client.py
+++ b/tests/policy/quota/test_lease_client.py
@@ -34,7 +34,7 @@
 
 
 def test_lease_requests_to_a_silent_leader_are_repeated_then_one_is_admitted_optimistically():
-    controller = new_controller(number=OTHER_GATEWAY)
+    controller = new_controller(gateway_number=OTHER_GATEWAY)
     events = [SIX_ENDPOINTS, *(arrival(n, units=4, deadline_at_ms=9000.0) for n in (1, 2, 3))]
     actions = []
     for now in range(1000, 1500, 4):
@@ -46,7 +46,7 @@
 
 
 def test_unused_grant_is_returned_to_the_leader():
-    controller = new_controller(number=OTHER_GATEWAY)
+    controller = new_controller(gateway_number=OTHER_GATEWAY)
     actions = controller.handle(1000, [EndpointUpdate(()), arrival(1, units=4)])
     (request,) = entries_in(datagrams_in(actions))
     controller.handle(1010, [from_leader(request._replace(kind=EntryKind.GRANT))])
@@ -55,7 +55,7 @@
 
 
 def test_endless_client_retries_do_not_fill_the_leaders_inbox():
-    controller = new_controller(number=OTHER_GATEWAY, gossip_inbox_per_s=20)
+    controller = new_controller(gateway_number=OTHER_GATEWAY, gossip_inbox_per_s=20)
     controller.handle(1000, [SIX_ENDPOINTS, arrival(1)])
     controller.handle(1010, [from_leader(quota_entry(EntryKind.QUEUED, demand_per_s=400.0))])
     kinds = []
@@ -66,8 +66,8 @@
 
 
 def test_own_leases_do_not_shorten_the_expected_reply_time():
-    controller = new_controller(number=OTHER_GATEWAY)
-    own = next(f"o{n}" for n in range(99) if leader_of(f"o{n}") == controller.settings.number)
+    controller = new_controller(gateway_number=OTHER_GATEWAY)
+    own = next(f"o{n}" for n in range(99) if leader_of(f"o{n}") == controller.settings.gateway_number)
     controller.handle(1000, [SIX_ENDPOINTS])
     before = controller.flow.lease_client.reply_ms
     for n in range(1, 60):
@@ -79,7 +79,7 @@
 
 
 def test_request_whose_reply_would_be_too_late_is_admitted_optimistically_at_once():
-    controller = new_controller(number=OTHER_GATEWAY)
+    controller = new_controller(gateway_number=OTHER_GATEWAY)
     controller.handle(1000.0, [SIX_ENDPOINTS])
     controller.flow.lease_client.reply_ms = 500.0
     (send,) = sends_in(controller.handle(1001, [arrival(1)]))
@@ -91,8 +91,8 @@
 
 def test_late_replies_are_learned_and_followed_by_optimistic_admission():
     """No leader is silent, but none replies before its customer's request times out in the queue."""
-    controller = new_controller(number=OTHER_GATEWAY)
-    customers = [f"o{n}" for n in range(300) if leader_of(f"o{n}") != controller.settings.number]
+    controller = new_controller(gateway_number=OTHER_GATEWAY)
+    customers = [f"o{n}" for n in range(300) if leader_of(f"o{n}") != controller.settings.gateway_number]
     datagrams = [GossipReceived(other, codec.encode(1, 1.0, [], [])) for other in range(3)]
     sent = []
     for serial, customer in enumerate(customers[:100], 1):
@@ -107,7 +107,7 @@
 
 
 def test_lease_request_without_reply_is_admitted_optimistically_before_queue_timeout():
-    controller = new_controller(number=OTHER_GATEWAY)
+    controller = new_controller(gateway_number=OTHER_GATEWAY)
     controller.flow.lease_client.reply_ms = 100.0
     actions = controller.handle(1000.0, [SIX_ENDPOINTS, arrival(1), arrival(2)])
     assert not sends_in(actions)
@@ -124,7 +124,7 @@
 
 def test_request_beyond_the_inbox_limit_is_rejected_at_once():
     plans = (Plan("rated", 4, 12),)
-    controller = new_controller(number=OTHER_GATEWAY, gossip_inbox_per_s=20, plans=plans)
+    controller = new_controller(gateway_number=OTHER_GATEWAY, gossip_inbox_per_s=20, plans=plans)
     controller.handle(1000, [SIX_ENDPOINTS, arrival(1)])
     controller.handle(1010, [from_leader(quota_entry(EntryKind.QUEUED, demand_per_s=400.0))])
     rejected = rejections_in(controller.handle(1012, [arrival(n) for n in range(2, 102)]))
@@ -135,7 +135,7 @@
 
 
 def test_overage_request_is_admitted_although_its_leader_was_not_asked():
-    controller = new_controller(number=1)
+    controller = new_controller(gateway_number=1)
     controller.handle(0.0, [SIX_ENDPOINTS, arrival(1, customer="d")])
     (account,) = controller.flow.lease_client.accounts.by_key.values()
     account.fleet_demand_per_s = 1e9  # too much for further lease requests
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -58,7 +58,7 @@
 
 
 def test_removed_endpoints_and_timers_of_ended_requests_are_dropped():
-    controller = new_controller(gateways=1, number=0)
+    controller = new_controller(gateways=1, gateway_number=0)
     controller.handle(1000, [SIX_ENDPOINTS])
     arrivals = [arrival(n, deadline_at_ms=600_000.0) for n in range(9)]
     sends = sends_in(controller.handle(1001, arrivals))
@@ -75,7 +75,7 @@
 
 
 def test_failing_event_does_not_lose_the_others_of_its_turn():
-    controller = new_controller(gateways=1, number=0)
+    controller = new_controller(gateways=1, gateway_number=0)
     odd = RequestArrived(1, "c", "look", "rated", 5000.0, units="many")
     sends = sends_in(controller.handle(1000, [SIX_ENDPOINTS, odd, arrival(2)]))
     assert [send.id for send in sends] == [2] and len(controller.errors) == 1
@@ -92,7 +92,7 @@
         Endpoint(f"s-{n:08x}", f"z{n % 3}", n % 64, EndpointState.READY, 1.0, 0.0 if n % 8 else 900.0)
         for n in range(FLEET_SIZE)
     )
-    controller = new_controller(gateways=FLEET_SIZE, number=0)
+    controller = new_controller(gateways=FLEET_SIZE, gateway_number=0)
     controller.handle(1000, [EndpointUpdate(endpoints)])
     table = controller.directory.table
     assert len(table.by_id) == FLEET_SIZE and len(table.by_tag) > 0.97 * FLEET_SIZE
@@ -122,7 +122,7 @@
 
 def actions_of_a_fleet(gateways):
     """Return how many actions one gateway of a fleet of this size takes in 2 s."""
-    controller = new_controller(gateways=gateways, number=1)
+    controller = new_controller(gateways=gateways, gateway_number=1)
     controller.handle(1000, [SIX_ENDPOINTS])
     total = 0
     for now in range(1004, 3000, 4):
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -51,7 +51,7 @@
             classes=(RequestClass("look", 4000, DEADLINE_MS, 2, Idempotency.IDEMPOTENT),),
         )
         self.controllers = {
-            n: Controller(replace(self.settings, number=n), self.rng.randrange(1 << 30))
+            n: Controller(replace(self.settings, gateway_number=n), self.rng.randrange(1 << 30))
             for n in range(gateways)
         }
         self.now = START_MS
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -36,11 +36,11 @@
 )
 
 
-def settings(number=0, gateways=3, **more):
+def settings(gateway_number=0, gateways=3, **more):
     """Return settings with every kind of idempotency and plan."""
     values = dict(
         gateways=gateways,
-        number=number,
+        gateway_number=gateway_number,
         zone="z0",
         tick_ms=TICK_MS,
         classes=CLASSES,
--- a/tests/support/quota_fleet.py
+++ b/tests/support/quota_fleet.py
@@ -54,7 +54,8 @@
         self.queue = EventQueue()
         changes = dict(gateways=gateways, plans=(PLAN,), classes=(LOOK,))
         self.controllers = {
-            n: Controller(settings(number=n, **changes), self.rng.randrange(1 << 30)) for n in range(gateways)
+            n: Controller(settings(gateway_number=n, **changes), self.rng.randrange(1 << 30))
+            for n in range(gateways)
         }
         endpoints = tuple(Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(ENDPOINTS))
         self.inboxes = {n: [EndpointUpdate(endpoints)] for n in self.controllers}
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -122,7 +122,9 @@
 
     def _start(self, gateway):
         self.incarnations[gateway] += 1
-        own_settings = settings(number=gateway, gateways=len(self.incarnations), **self.setting_changes)
+        own_settings = settings(
+            gateway_number=gateway, gateways=len(self.incarnations), **self.setting_changes
+        )
         self.controllers[gateway] = Controller(own_settings, self.rng.randrange(1 << 30))
         self.inboxes[gateway] = [EndpointUpdate(tuple(self.endpoints.all))]
         self.endpoints.learn_all(gateway, self.now)
