--- a/gateway/config.py
+++ b/gateway/config.py
@@ -45,7 +45,7 @@
     listen: Address
     discovery: Address
     seed: int  # of all random numbers
-    sockets: int  # limit of descriptors
+    max_descriptors: int  # limit on the descriptors that the process may open
     settings: Settings
     connect_timeout_ms: float
     idle_ms: float  # idle timeout of endpoints' connections
@@ -126,7 +126,7 @@
             top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"
         ),
         seed=seed,
-        sockets=int(top.object("limits", {}).number("sockets", 1024.0)),
+        max_descriptors=int(top.object("limits", {}).number("sockets", 1024.0)),
         settings=own,
         connect_timeout_ms=limits.number("dialTimeoutMs", 250.0),
         idle_ms=limits.number("connIdleMs", 15_000.0),
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -65,7 +65,7 @@
         self.attempt_runner = AttemptRunner(
             self.clock, self.upstreams, self.requests, self.attempts, self.controller_loop
         )
-        self.connections = ConnectionLimiter(shareable_descriptors(config.sockets))
+        self.connections = ConnectionLimiter(shareable_descriptors(config.max_descriptors))
         self.frontend = self._new_frontend()
 
     def _new_upstream_pool(self) -> UpstreamPool:
@@ -76,7 +76,7 @@
             self.metrics,
             idle_ms=self.config.idle_ms,
             connect_timeout_ms=self.config.connect_timeout_ms,
-            max_connections=max_upstream_connections(self.config.sockets),
+            max_connections=max_upstream_connections(self.config.max_descriptors),
             report_fields=self.config.settings.report_fields,
         )
 
@@ -191,7 +191,7 @@
         """Use all descriptors, now that the predecessor has released its own."""
         self.role.on_predecessor_ended()
         hot_restart.on_predecessor_ended(self.controller_loop.controller)
-        self._limit_descriptors(self.config.sockets)
+        self._limit_descriptors(self.config.max_descriptors)
 
     def on_successor_ended(self) -> bool:
         """Serve again, unless this process is shutting down; return whether it serves."""
@@ -200,7 +200,7 @@
             return False
         hot_restart.resume(self.controller_loop.controller, self.clock.now())
         self.gossip_socket.listen()
-        self._limit_descriptors(self.config.sockets)
+        self._limit_descriptors(self.config.max_descriptors)
         return True
 
     def _limit_descriptors(self, descriptors: int) -> None:
