--- a/gateway/config.py
+++ b/gateway/config.py
@@ -49,7 +49,7 @@
     settings: Settings
     connect_timeout_ms: float
     idle_ms: float  # idle timeout of endpoints' connections
-    known: EndpointList  # used until the first list from discovery
+    initial_endpoints: EndpointList  # used until discovery sends its first list
     peer_listen: Address | None
     peers: tuple[Address, ...]  # all gateways of the fleet, by number
     peers_all: Address | None  # datagrams to it reach all peers
@@ -130,7 +130,9 @@
         settings=own,
         connect_timeout_ms=limits.number("dialTimeoutMs", 250.0),
         idle_ms=limits.number("connIdleMs", 15_000.0),
-        known=endpoint_list_from(top.object("known", {"index": 0, "endpoints": []}).value, "config.known"),
+        initial_endpoints=endpoint_list_from(
+            top.object("known", {"index": 0, "endpoints": []}).value, "config.known"
+        ),
         peer_listen=_optional_address_from(peer_listen, "config.peer_listen"),
         peers=peers,
         peers_all=_optional_address_from(peers_all, "config.peers_all"),
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -75,7 +75,7 @@
         self._endpoint_watch = EndpointWatch(
             config.discovery,
             self._gateway.on_endpoint_list,
-            config.known.index if config.known.entries else None,
+            config.initial_endpoints.index if config.initial_endpoints.entries else None,
             fleet_size=settings.gateways,
             seed=config.seed,
             is_pushed=not settings.must_subscribe,
@@ -94,7 +94,7 @@
 
         Raises OSError if an address cannot be used.
         """
-        self._gateway.on_endpoint_list(self._config.known)
+        self._gateway.on_endpoint_list(self._config.initial_endpoints)
         await self._admin.open(self._config.control)
         await self._hot_restart.find()
         self._tasks = [
@@ -135,7 +135,7 @@
                 "discovery: no endpoint list within %.1f s,"
                 " starting with the configured list of %d endpoints",
                 FIRST_LIST_TIMEOUT_S,
-                len(self._config.known.entries),
+                len(self._config.initial_endpoints.entries),
             )
 
     async def _serve_until_draining(self) -> None:
@@ -188,4 +188,7 @@
 
     def _differs_beyond_discovery(self, config: Config) -> bool:
         own = self._config
-        return replace(config, discovery=own.discovery, seed=own.seed, known=own.known) != own
+        return (
+            replace(config, discovery=own.discovery, seed=own.seed, initial_endpoints=own.initial_endpoints)
+            != own
+        )
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -24,7 +24,7 @@
             configuration(listen_port=port, known=[endpoint_entry("w1", endpoint.port)]), {}
         )
         gateway = Gateway(platform, asyncio.get_running_loop(), ScriptedController())
-        gateway.on_endpoint_list(platform.known)
+        gateway.on_endpoint_list(platform.initial_endpoints)
         handover = HotRestart(gateway)
         await handover.find()
         with socket.create_connection((HOST, port), 5) as sock:
--- a/tests/support/running_gateway.py
+++ b/tests/support/running_gateway.py
@@ -18,7 +18,7 @@
         self.controller = controller
         config = config_from(configuration(**more), {})
         self.gateway = Gateway(config, asyncio.get_running_loop(), controller)
-        self.gateway.on_endpoint_list(config.known)
+        self.gateway.on_endpoint_list(config.initial_endpoints)
         self.server = None
 
     async def __aenter__(self):
