--- a/gateway/config.py
+++ b/gateway/config.py
@@ -53,7 +53,7 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]  # all gateways of the fleet, by number
     peers_all: Address | None  # datagrams to it reach all peers
-    control: Address | None = None  # of the admin endpoint
+    admin_listen: Address | None = None  # address of the admin endpoint; None: there is no admin endpoint
     private_folder: str = ""  # of the socket file for a hot restart; empty: no hot restart
 
     @property
@@ -136,7 +136,7 @@
         peer_listen=_optional_address_from(peer_listen, "config.peer_listen"),
         peers=peers,
         peers_all=_optional_address_from(peers_all, "config.peers_all"),
-        control=_optional_address_from(control, "config.control"),
+        admin_listen=_optional_address_from(control, "config.control"),
         private_folder=environment.get("TMPDIR", ""),
     )
 
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -95,7 +95,7 @@
         Raises OSError if an address cannot be used.
         """
         self._gateway.on_endpoint_list(self._config.initial_endpoints)
-        await self._admin.open(self._config.control)
+        await self._admin.open(self._config.admin_listen)
         await self._hot_restart.find()
         self._tasks = [
             self._loop.create_task(self._endpoint_watch.run()),
--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -55,9 +55,9 @@
 
 
 def test_admin_address_comes_from_configuration_or_environment():
-    assert config_from(configuration(), {}).control is None
-    assert config_from(configuration(control=f"{HOST}:9100"), {}).control == (HOST, 9100)
-    assert config_from(configuration(), {"BALANCER_CONTROL": f"{HOST}:9101"}).control == (HOST, 9101)
+    assert config_from(configuration(), {}).admin_listen is None
+    assert config_from(configuration(control=f"{HOST}:9100"), {}).admin_listen == (HOST, 9100)
+    assert config_from(configuration(), {"BALANCER_CONTROL": f"{HOST}:9101"}).admin_listen == (HOST, 9101)
     with pytest.raises(ValueError, match=r"config\.control"):
         config_from(configuration(control="door"), {})
 
