--- a/gateway/config.py
+++ b/gateway/config.py
@@ -52,7 +52,7 @@
     initial_endpoints: EndpointList  # used until discovery sends its first list
     peer_listen: Address | None
     peers: tuple[Address, ...]  # all gateways of the fleet, by number
-    peers_all: Address | None  # datagrams to it reach all peers
+    peer_broadcast: Address | None  # a datagram to this address reaches all other gateways
     admin_listen: Address | None = None  # address of the admin endpoint; None: there is no admin endpoint
     private_folder: str = ""  # of the socket file for a hot restart; empty: no hot restart
 
@@ -118,7 +118,7 @@
     peers = _peers_from(top, own.gateways)
     control = top.text("control", environment.get("BALANCER_CONTROL", ""))
     peer_listen = top.text("peer_listen", "")
-    peers_all = top.text("peers_all", "")
+    peer_broadcast = top.text("peers_all", "")
     return Config(
         name=top.text("name", environment.get("BALANCER_NAME")),
         listen=address_from(top.text("listen", environment.get("BALANCER_LISTEN")), "config.listen"),
@@ -135,7 +135,7 @@
         ),
         peer_listen=_optional_address_from(peer_listen, "config.peer_listen"),
         peers=peers,
-        peers_all=_optional_address_from(peers_all, "config.peers_all"),
+        peer_broadcast=_optional_address_from(peer_broadcast, "config.peers_all"),
         admin_listen=_optional_address_from(control, "config.control"),
         private_folder=environment.get("TMPDIR", ""),
     )
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -92,7 +92,7 @@
     def _address_of(self, receiver: int) -> Address | None:
         peers = self._config.peers
         if receiver == ALL_PEERS:
-            return self._config.peers_all
+            return self._config.peer_broadcast
         return peers[receiver] if 0 <= receiver < len(peers) else None
 
     def _receive(self, sock: socket.socket) -> None:
