--- a/gateway/config.py
+++ b/gateway/config.py
@@ -54,12 +54,12 @@
     peers: tuple[Address, ...]  # all gateways of the fleet, by number
     peer_broadcast: Address | None  # a datagram to this address reaches all other gateways
     admin_listen: Address | None = None  # address of the admin endpoint; None: there is no admin endpoint
-    private_folder: str = ""  # of the socket file for a hot restart; empty: no hot restart
+    socket_folder: str = ""  # folder of the socket file for hot restarts; empty: no hot restarts
 
     @property
     def shares_addresses(self) -> bool:
         """Whether a successor may bind the same addresses while this process runs."""
-        return bool(self.private_folder)
+        return bool(self.socket_folder)
 
 
 def address_from(text: object, path: str) -> Address:
@@ -137,7 +137,7 @@
         peers=peers,
         peer_broadcast=_optional_address_from(peer_broadcast, "config.peers_all"),
         admin_listen=_optional_address_from(control, "config.control"),
-        private_folder=environment.get("TMPDIR", ""),
+        socket_folder=environment.get("TMPDIR", ""),
     )
 
 
--- a/gateway/network/hot_restart/coordinator.py
+++ b/gateway/network/hot_restart/coordinator.py
@@ -28,11 +28,11 @@
     """The clients' listening socket of a process, and its links to a predecessor and a successor."""
 
     def __init__(self, gateway: Gateway) -> None:
-        """Open nothing yet. Without a private folder no process follows another."""
+        """Open nothing yet. Without a socket folder no process follows another."""
         config = gateway.config
         self._gateway = gateway
         tasks = BackgroundTasks(gateway.loop)
-        socket_file = SocketFile(config.private_folder, config.listen) if config.private_folder else None
+        socket_file = SocketFile(config.socket_folder, config.listen) if config.socket_folder else None
         self._listener = ClientListener(
             gateway.loop, gateway.frontend, config.listen, shares_address=config.shares_addresses
         )
