--- a/gateway/config.py
+++ b/gateway/config.py
@@ -48,7 +48,7 @@
     max_descriptors: int  # limit on the descriptors that the process may open
     settings: Settings
     connect_timeout_ms: float
-    idle_ms: float  # idle timeout of endpoints' connections
+    endpoint_idle_timeout_ms: float  # time after which an endpoint closes an idle connection
     initial_endpoints: EndpointList  # used until discovery sends its first list
     peer_listen: Address | None
     peers: tuple[Address, ...]  # all gateways of the fleet, by number
@@ -129,7 +129,7 @@
         max_descriptors=int(top.object("limits", {}).number("sockets", 1024.0)),
         settings=own,
         connect_timeout_ms=limits.number("dialTimeoutMs", 250.0),
-        idle_ms=limits.number("connIdleMs", 15_000.0),
+        endpoint_idle_timeout_ms=limits.number("connIdleMs", 15_000.0),
         initial_endpoints=endpoint_list_from(
             top.object("known", {"index": 0, "endpoints": []}).value, "config.known"
         ),
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -74,7 +74,7 @@
             self.clock,
             self.timers,
             self.metrics,
-            idle_ms=self.config.idle_ms,
+            idle_ms=self.config.endpoint_idle_timeout_ms,
             connect_timeout_ms=self.config.connect_timeout_ms,
             max_connections=max_upstream_connections(self.config.max_descriptors),
             report_fields=self.config.settings.report_fields,
