--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -36,10 +36,10 @@
     "B"  # class index and grade
 )
 
-MAX_BYTES = 256  # size limit of a datagram, in bytes
+MAX_DATAGRAM_BYTES = 256  # maximum size of a datagram, in bytes
 MAX_OBSERVATIONS = 4  # observations in a datagram
 MAX_ENTRIES = (  # quota entries in a datagram
-    MAX_BYTES - _HEADER_LAYOUT.size - MAX_OBSERVATIONS * _OBSERVATION_LAYOUT.size
+    MAX_DATAGRAM_BYTES - _HEADER_LAYOUT.size - MAX_OBSERVATIONS * _OBSERVATION_LAYOUT.size
 ) // _ENTRY_LAYOUT.size
 
 _MAX_UINT16 = 0xFFFF
@@ -158,7 +158,7 @@
 
 def decode(data: bytes) -> GossipMessage | None:
     """Return the message in a datagram, or None where it is invalid."""
-    if len(data) < _HEADER_LAYOUT.size or len(data) > MAX_BYTES or data[0] != _VERSION:
+    if len(data) < _HEADER_LAYOUT.size or len(data) > MAX_DATAGRAM_BYTES or data[0] != _VERSION:
         return None
     _, incarnation, concurrency, entry_count = _HEADER_LAYOUT.unpack_from(data)
     end_of_entries = _HEADER_LAYOUT.size + entry_count * _ENTRY_LAYOUT.size
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from gateway.config import Address, Config
-from gateway.gossip.codec import MAX_BYTES
+from gateway.gossip.codec import MAX_DATAGRAM_BYTES
 from gateway.network.bound_socket import bind_socket
 
 # Receiver of a datagram to all peers, in place of a gateway's number.
@@ -68,12 +68,12 @@
         """Send a datagram to the gateway of that number, or to ALL_PEERS; it may be lost."""
         if self._socket is None:
             return
-        if len(data) > MAX_BYTES:
+        if len(data) > MAX_DATAGRAM_BYTES:
             log.error(
                 "gossip: datagram of %d bytes to gateway %d not sent, the limit is %d bytes",
                 len(data),
                 receiver,
-                MAX_BYTES,
+                MAX_DATAGRAM_BYTES,
             )
             return
         address = self._address_of(receiver)
@@ -98,10 +98,10 @@
     def _receive(self, sock: socket.socket) -> None:
         """Receive one datagram; the event loop calls again if more are queued."""
         try:
-            data, address = sock.recvfrom(MAX_BYTES + 1)
+            data, address = sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
         except OSError:  # the queue is empty, or a datagram of ours could not be delivered
             return
         # Datagrams from unknown addresses and oversized ones are ignored.
         number = self._numbers.get(address)
-        if number is not None and len(data) <= MAX_BYTES:
+        if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self._on_message(number, data)
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -37,7 +37,7 @@
 def test_messages_survive_a_round_trip_within_the_size_limit():
     data = codec.encode(70000, 1.5, HUNDRED_ENTRIES, FOUR_OBSERVATIONS)
     message = codec.decode(data)
-    assert len(data) <= codec.MAX_BYTES
+    assert len(data) <= codec.MAX_DATAGRAM_BYTES
     assert message.incarnation == 70000 & 0xFFFF and message.target_concurrency == 1.5
     assert message.entries == tuple(HUNDRED_ENTRIES[: codec.MAX_ENTRIES])
     assert message.observations == tuple(FOUR_OBSERVATIONS)
--- a/tests/gossip/test_codec_properties.py
+++ b/tests/gossip/test_codec_properties.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from gateway.gossip.codec import (
-    MAX_BYTES,
+    MAX_DATAGRAM_BYTES,
     MAX_ENTRIES,
     MAX_INDEXES,
     MAX_OBSERVATIONS,
@@ -45,7 +45,7 @@
 @given(MESSAGES)
 def test_message_is_decoded_as_it_was_encoded(message):
     data = encode(*message)
-    assert len(data) <= MAX_BYTES
+    assert len(data) <= MAX_DATAGRAM_BYTES
     assert decode(data) == message
 
 
@@ -58,7 +58,7 @@
 
 
 @settings(deadline=None, max_examples=200)
-@given(st.sampled_from([b"", b"\x02"]), st.binary(max_size=MAX_BYTES + 8))
+@given(st.sampled_from([b"", b"\x02"]), st.binary(max_size=MAX_DATAGRAM_BYTES + 8))
 def test_any_bytes_are_a_message_or_none(version, data):
     message = decode(version + data)
     if message is not None:
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -109,7 +109,7 @@
         sends = sends_in(actions)
         chosen |= {send.endpoint for send in sends}
         receivers |= {datagram.receiver for datagram in datagrams_in(actions)}
-        assert all(len(datagram.data) <= codec.MAX_BYTES for datagram in datagrams_in(actions))
+        assert all(len(datagram.data) <= codec.MAX_DATAGRAM_BYTES for datagram in datagrams_in(actions))
         controller.handle(now + 1, [attempt_ended(send, AttemptResult.OK) for send in sends])
     assert max(receivers) > 255 and len(receivers) > 100 and len(chosen) >= 6
     data = codec.encode(7, 1.0, [], [codec.observe(endpoints[1000].id, 0, math.inf)])
