--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -68,7 +68,7 @@
     DENY = 7  # from the leader: the lease cannot be granted in time
 
 
-REPLIES = (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY)  # kinds that a leader sends
+REPLY_KINDS = (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY)  # kinds that a leader sends
 _KINDS = frozenset(int(kind) for kind in EntryKind)
 
 
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gateway.gossip.codec import REPLIES, QuotaEntry, decode, encode
+from gateway.gossip.codec import REPLY_KINDS, QuotaEntry, decode, encode
 from gateway.interface import events
 from gateway.interface.actions import Action, SendGossip, SetTimer, SubscribeEndpoints
 from gateway.interface.settings import Settings
@@ -149,7 +149,7 @@
 
     def _on_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
         """Handle an entry; one with a class or a plan that the settings lack has no effect."""
-        if entry.kind in REPLIES:
+        if entry.kind in REPLY_KINDS:
             self.flow.lease_client.on_reply(sender, entry)
             return
         has_plan = entry.plan_index < len(self.settings.plans)
