--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -106,7 +106,7 @@
     observations: tuple[EndpointObservation, ...]
 
 
-def observe(endpoint_id: str, class_index: int, latency_ratio: float) -> EndpointObservation:
+def observation_of(endpoint_id: str, class_index: int, latency_ratio: float) -> EndpointObservation:
     """Return the observation of an attempt: its latency in expected latencies, or inf for a failure."""
     grade = _FAILED_GRADE
     if latency_ratio != math.inf:
--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -6,7 +6,7 @@
 from gateway.gossip.codec import (
     MAX_OBSERVATIONS,
     EndpointObservation,
-    observe,
+    observation_of,
 )
 from gateway.policy.context import PolicyComponent, PolicyContext
 from gateway.policy.decay import decay
@@ -70,7 +70,7 @@
         self._count_outcome(endpoint, class_name, latency_ratio, weight)
         endpoint.observed_at_ms = now_ms
         if weight > MAX_GOSSIP_WEIGHT:
-            observation = observe(endpoint.entry.id, self.class_names.index(class_name), latency_ratio)
+            observation = observation_of(endpoint.entry.id, self.class_names.index(class_name), latency_ratio)
             latest = self._own_observations[1 - MAX_OBSERVATIONS :]
             self._own_observations = [*latest, _OwnObservation(now_ms, observation)]
 
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -32,7 +32,7 @@
         for n in range(30)
     ]
     ratios = (0.01, 0.5, 1.0, 2.0, 7.0, 99.0, float("inf"))
-    observations = [codec.observe(f"10.0.0.{n}:80", n, ratio) for n, ratio in enumerate(ratios)]
+    observations = [codec.observation_of(f"10.0.0.{n}:80", n, ratio) for n, ratio in enumerate(ratios)]
     check_recording("datagram-full.bin", codec.encode(70_000, 1e9, entries, observations))
     check_recording(
         "datagram-reports.bin",
--- a/tests/compatibility/test_simulated_day.py
+++ b/tests/compatibility/test_simulated_day.py
@@ -107,7 +107,7 @@
         step % 3,
         step % 3,
     )
-    data = codec.encode(9, 3.0, [entry], [codec.observe("w:3", 0, 2.0)])
+    data = codec.encode(9, 3.0, [entry], [codec.observation_of("w:3", 0, 2.0)])
     return f"FROM_PEER\t{sender}\t{data.hex()}"
 
 
--- a/tests/compatibility/test_state_transfer.py
+++ b/tests/compatibility/test_state_transfer.py
@@ -56,8 +56,8 @@
         for kind in range(1, 8)
     ]
     observations = [
-        codec.observe("10.0.0.3:80", 0, 2.0),
-        codec.observe("10.0.0.4:80", 1, float("inf")),
+        codec.observation_of("10.0.0.3:80", 0, 2.0),
+        codec.observation_of("10.0.0.4:80", 1, float("inf")),
     ]
     return codec.encode(3, 1.5, entries, observations)
 
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -10,7 +10,7 @@
 
 HUNDRED_ENTRIES = [quota_entry(EntryKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 16, 3) for n in range(100)]
 RATIOS = (0.01, 1.0, 2.0, float("inf"))
-FOUR_OBSERVATIONS = [codec.observe(f"s{n}", n, ratio) for n, ratio in enumerate(RATIOS)]
+FOUR_OBSERVATIONS = [codec.observation_of(f"s{n}", n, ratio) for n, ratio in enumerate(RATIOS)]
 
 
 def test_unreadable_datagrams_change_nothing():
@@ -53,7 +53,7 @@
     """A datagram has room for the indexes of 16 classes and 16 plans."""
     entry = codec.QuotaEntry(EntryKind.REQUEST, 7, 3, 1.0, 2.0, 1, 2)
     sent_entries = [entry._replace(class_index=16), entry, entry._replace(plan_index=16)]
-    sent_observations = [codec.observe("s", 16, 1.0), codec.observe("s", 15, 1.0)]
+    sent_observations = [codec.observation_of("s", 16, 1.0), codec.observation_of("s", 15, 1.0)]
     message = codec.decode(codec.encode(1, 1.0, sent_entries, sent_observations))
     assert message.entries == (entry,)
     assert [observation.class_index for observation in message.observations] == [15]
--- a/tests/gossip/test_codec_properties.py
+++ b/tests/gossip/test_codec_properties.py
@@ -15,7 +15,7 @@
     decode,
     encode,
     latency_ratio_of,
-    observe,
+    observation_of,
 )
 
 UINT16 = st.integers(0, 0xFFFF)
@@ -79,5 +79,5 @@
 @settings(deadline=None, max_examples=100)
 @given(st.floats(0.25, 32.0))
 def test_observed_latency_is_exact_to_a_quarter_of_a_doubling(ratio):
-    observed = latency_ratio_of(observe("endpoint", 0, ratio))
+    observed = latency_ratio_of(observation_of("endpoint", 0, ratio))
     assert 2**-0.2501 <= observed / ratio <= 2**0.2501
--- a/tests/policy/endpoints/test_outlier_detection.py
+++ b/tests/policy/endpoints/test_outlier_detection.py
@@ -59,7 +59,7 @@
     controller = new_controller()
     endpoints = tuple(Endpoint(name, "z0", 0, EndpointState.READY) for name in names)
     controller.handle(0.0, [EndpointUpdate(endpoints)])
-    observed = [codec.observe(name, 0, float("inf")) for name in (names[0], "lone")]
+    observed = [codec.observation_of(name, 0, float("inf")) for name in (names[0], "lone")]
     controller.handle(4.0, [GossipReceived(1, codec.encode(5, 1.0, [], observed))])
     known = controller.directory.table.by_id
     failing = [controller.selector.outliers.failure_rate(known[name], "look") for name in names]
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -112,7 +112,7 @@
         assert all(len(datagram.data) <= codec.MAX_DATAGRAM_BYTES for datagram in datagrams_in(actions))
         controller.handle(now + 1, [attempt_ended(send, AttemptResult.OK) for send in sends])
     assert max(receivers) > 255 and len(receivers) > 100 and len(chosen) >= 6
-    data = codec.encode(7, 1.0, [], [codec.observe(endpoints[1000].id, 0, math.inf)])
+    data = codec.encode(7, 1.0, [], [codec.observation_of(endpoints[1000].id, 0, math.inf)])
     controller.handle(3410, [GossipReceived(FLEET_SIZE - 1, data), GossipReceived(FLEET_SIZE, data)])
     received_at_ms = controller.pace.received_at_ms
     assert FLEET_SIZE - 1 in received_at_ms and FLEET_SIZE not in received_at_ms
