--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -8,7 +8,7 @@
 from gateway.interface.settings import Settings
 from gateway.policy.context import PERIOD_MS, PolicyContext
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
-from gateway.policy.gossip.pace import GossipPace
+from gateway.policy.gossip.pace import GossipPacer
 from gateway.policy.quota.leader_bucket import LeaseKey
 from gateway.policy.requests.request_flow import RequestFlow
 from gateway.policy.requests.request_record import RequestRecord
@@ -31,7 +31,7 @@
         self.errors: list[Exception] = []  # errors raised by the events of the last turn
         self.context = PolicyContext(settings, seed)
         self.flow = RequestFlow(self.context, self._send_entry)
-        self.pace = GossipPace(self.context)
+        self.pacer = GossipPacer(self.context)
         self.selector = self.flow.attempts.selector
         self.directory = self.flow.attempts.selector.directory
         self._withdrawn: list[EndpointRecord] = []  # endpoints that stopped being ready in this turn
@@ -128,7 +128,7 @@
         is_own = event.sender == self.settings.gateway_number and not self.context.role.has_sibling
         if message is None or event.sender >= self.settings.gateways or is_own:
             return
-        self.pace.on_received(event.sender)
+        self.pacer.on_received(event.sender)
         self.flow.attempts.limiter.on_peer_target(message.target_concurrency)
         if not self.context.turn.follows_stall:  # observations are outdated after a stall
             self.selector.on_observations(message.observations)
@@ -145,7 +145,7 @@
         if is_own and incarnation in (None, role.incarnation):
             self._on_entry(gateway, role.incarnation, entry)
         elif self.settings.may_gossip:
-            self.pace.outbox.add(gateway, entry)
+            self.pacer.outbox.add(gateway, entry)
 
     def _on_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
         """Handle an entry; one with a class or a plan that the settings lack has no effect."""
@@ -178,7 +178,7 @@
         now_ms = self.context.turn.now_ms
         self.context.timers.schedule(now_ms + PERIOD_MS, TimerKind.PERIOD)
         self.flow.dispatcher.step()
-        self.pace.step()
+        self.pacer.decay_received_count()
         self.selector.step()
         if now_ms >= self._cleanup_at_ms:
             self._cleanup_at_ms = now_ms + CLEANUP_INTERVAL_MS
@@ -194,7 +194,7 @@
     # -- actions at the end of a turn
 
     def _send_gossip(self) -> None:
-        messages = self.pace.take()
+        messages = self.pacer.take_messages()
         if not messages:
             return
         incarnation = self.context.role.incarnation
--- a/gateway/policy/gossip/outbox.py
+++ b/gateway/policy/gossip/outbox.py
@@ -21,7 +21,7 @@
         """Queue an entry for the next message to a gateway."""
         self.setdefault(gateway, []).append(entry)
 
-    def take(self, gateways: list[int]) -> list[OutgoingMessage]:
+    def take_messages(self, gateways: list[int]) -> list[OutgoingMessage]:
         """Remove and return one message for each of these gateways.
 
         Entries beyond the size of a message stay queued. Raises KeyError for a gateway without entries.
--- a/gateway/policy/gossip/pace.py
+++ b/gateway/policy/gossip/pace.py
@@ -15,7 +15,7 @@
 ACTIVE_PEER_MS = 1000.0  # time since its last message for which a peer counts as an active sender
 
 
-class GossipPace(PolicyComponent):
+class GossipPacer(PolicyComponent):
     """Takes the messages out of the outbox that may be sent."""
 
     def __init__(self, context: PolicyContext) -> None:
@@ -31,11 +31,11 @@
         self.received_at_ms[sender] = self._turn.now_ms
         self._received += 1
 
-    def step(self) -> None:
+    def decay_received_count(self) -> None:
         """Let the count of received messages decay by one period."""
         self._received *= decay(PERIOD_MS, ACTIVE_PEER_MS)
 
-    def take(self) -> list[OutgoingMessage]:
+    def take_messages(self) -> list[OutgoingMessage]:
         """Return the messages to send now, and schedule a timer for entries that remain."""
         if not self.outbox:
             return []
@@ -45,7 +45,7 @@
             gateway for gateway in self.outbox if now_ms > self._sent_at_ms.get(gateway, NEVER_MS) + gap_ms
         ]
         self._sent_at_ms.update((gateway, now_ms) for gateway in ready)
-        messages = self.outbox.take(ready)
+        messages = self.outbox.take_messages(ready)
         if self.outbox and now_ms >= self._flush_at_ms:
             self._flush_at_ms = now_ms + max(self._settings.tick_ms, gap_ms / 2)
             self._schedule(self._flush_at_ms, TimerKind.GOSSIP_FLUSH)
--- a/tests/policy/gossip/test_outbox.py
+++ b/tests/policy/gossip/test_outbox.py
@@ -27,7 +27,7 @@
 def test_message_has_the_entries_of_its_gateway_in_their_order():
     outbox = outbox_with({3: 2, 1: 1})
     assert list(outbox) == [3, 1]
-    (message,) = outbox.take([3])
+    (message,) = outbox.take_messages([3])
     assert message.gateway == 3
     assert message.entries == entries(2)
     assert list(outbox) == [1]
@@ -35,9 +35,9 @@
 
 def test_entries_beyond_a_message_stay_queued():
     outbox = outbox_with({2: MAX_ENTRIES + 3})
-    (first,) = outbox.take([2])
+    (first,) = outbox.take_messages([2])
     assert outbox
-    (second,) = outbox.take([2])
+    (second,) = outbox.take_messages([2])
     assert not outbox
     assert first.entries + second.entries == entries(MAX_ENTRIES + 3)
     assert len(first.entries) == MAX_ENTRIES
@@ -45,4 +45,4 @@
 
 def test_gateway_without_entries_is_an_error():
     with pytest.raises(KeyError):
-        EntryOutbox().take([5])
+        EntryOutbox().take_messages([5])
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -114,7 +114,7 @@
     assert max(receivers) > 255 and len(receivers) > 100 and len(chosen) >= 6
     data = codec.encode(7, 1.0, [], [codec.observation_of(endpoints[1000].id, 0, math.inf)])
     controller.handle(3410, [GossipReceived(FLEET_SIZE - 1, data), GossipReceived(FLEET_SIZE, data)])
-    received_at_ms = controller.pace.received_at_ms
+    received_at_ms = controller.pacer.received_at_ms
     assert FLEET_SIZE - 1 in received_at_ms and FLEET_SIZE not in received_at_ms
     assert table.by_id[endpoints[1000].id].failures
     assert not controller.errors
