--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -132,7 +132,7 @@
         self.flow.attempts.limiter.on_peer_target(message.target_concurrency)
         if not self.context.turn.follows_stall:  # observations are outdated after a stall
             self.selector.on_observations(message.observations)
-        self.flow.lease_client.on_gossip(event.sender)
+        self.flow.lease_client.mark_responsive(event.sender)
         for entry in message.entries:
             self._on_entry(event.sender, message.incarnation, entry)
 
@@ -187,8 +187,8 @@
 
     def _clean_up(self) -> None:
         """Drop unused accounts, buckets and timers."""
-        self.flow.lease_client.accounts.drop_idle(self.flow.open.values())
-        self.flow.leader.drop_idle()
+        self.flow.lease_client.accounts.drop_idle_accounts(self.flow.open.values())
+        self.flow.leader.drop_idle_buckets()
         self.context.timers.compact(self.flow.open)
 
     # -- actions at the end of a turn
--- a/gateway/policy/quota/accounts.py
+++ b/gateway/policy/quota/accounts.py
@@ -25,7 +25,7 @@
         super().__init__(context)
         self.by_key: dict[AccountKey, CustomerAccount] = {}
 
-    def refill(self, arrival: RequestArrived, plan: Plan) -> CustomerAccount:
+    def refilled_account(self, arrival: RequestArrived, plan: Plan) -> CustomerAccount:
         """Return the account of a request's customer, with its buckets refilled."""
         key = AccountKey(arrival.customer, plan.name, arrival.spread, arrival.first_gateway)
         account = self.by_key.get(key)
@@ -46,7 +46,7 @@
         account.ceiling_level = ceiling_level * LOCAL_CEILING_FRACTION / spread
         return account
 
-    def drop_idle(self, open_requests: Iterable[RequestRecord]) -> None:
+    def drop_idle_accounts(self, open_requests: Iterable[RequestRecord]) -> None:
         """Drop unused accounts that new ones would replace without granting a quota twice."""
         open_accounts = {id(request.account) for request in open_requests}
         now_ms = self._turn.now_ms
--- a/gateway/policy/quota/leader.py
+++ b/gateway/policy/quota/leader.py
@@ -61,7 +61,7 @@
             bucket.ceiling_level -= first.entry.units
             self._reply(EntryKind.GRANT, first.key, first.entry, bucket)
 
-    def drop_idle(self) -> None:
+    def drop_idle_buckets(self) -> None:
         """Drop buckets that new ones would replace without granting a quota twice."""
         now_ms = self._turn.now_ms
         for name, bucket in list(self.buckets.items()):
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -72,7 +72,7 @@
         """
         if request.leader_replied:
             return False  # it is queued at its leader
-        account = self.accounts.refill(request.arrival, request.plan)
+        account = self.accounts.refilled_account(request.arrival, request.plan)
         may_retry = request.lease_requests < MAX_LEASE_REQUESTS and not is_last
         if may_retry and account.leader not in self._silent_leaders:
             self._request_lease(request)
@@ -83,9 +83,9 @@
             return False
         return self._admit_locally(request)
 
-    def on_gossip(self, sender: int) -> None:
+    def mark_responsive(self, gateway: int) -> None:
         """Record that a gateway is not silent."""
-        self._silent_leaders.discard(sender)
+        self._silent_leaders.discard(gateway)
 
     def on_reply(self, sender: int, entry: QuotaEntry) -> None:
         """Handle a leader's reply."""
@@ -106,7 +106,7 @@
             self._schedule(expires_at_ms, TimerKind.LEASE_EXPIRED, request.id)
         self._listener.on_lease_reply(request, entry.kind)
 
-    def close(self, request: RequestRecord) -> None:
+    def release_lease(self, request: RequestRecord) -> None:
         """Return the units that a request drew and did not use, and its slot."""
         self.leases.remove(request)
         if request.lease_requests and not request.leader_replied:
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -50,7 +50,7 @@
         if request_class is None or plan is None or is_expired or is_duplicate:
             self._act(Reject(arrival.id))
             return
-        account = self.lease_client.accounts.refill(arrival, plan)
+        account = self.lease_client.accounts.refilled_account(arrival, plan)
         account.demand += arrival.units
         request = RequestRecord.opened(arrival, request_class, plan, account, self._turn.now_ms)
         self.open[request.id] = request
@@ -148,7 +148,7 @@
         request.account.in_flight -= not request.awaits_quota
         if request.phase is RequestPhase.QUEUED:
             self.dispatcher.queue.remove(request)
-        self.lease_client.close(request)
+        self.lease_client.release_lease(request)
         self.attempts.cancel(request)
 
     def _on_queue_timeout(self, request: RequestRecord) -> None:
--- a/tests/policy/quota/test_accounts.py
+++ b/tests/policy/quota/test_accounts.py
@@ -16,8 +16,8 @@
 def drop_idle(controller, now):
     """Let the controller drop idle accounts and buckets as if that time had come."""
     controller.context.turn.now_ms = now
-    controller.flow.lease_client.accounts.drop_idle(controller.flow.open.values())
-    controller.flow.leader.drop_idle()
+    controller.flow.lease_client.accounts.drop_idle_accounts(controller.flow.open.values())
+    controller.flow.leader.drop_idle_buckets()
 
 
 def test_account_is_dropped_only_when_full_and_without_open_requests():
