--- a/gateway/config.py
+++ b/gateway/config.py
@@ -45,21 +45,21 @@
     listen: Address
     discovery: Address
     seed: int  # of all random numbers
-    sockets: int  # limit of descriptors
+    max_descriptors: int  # limit on the descriptors that the process may open
     settings: Settings
     connect_timeout_ms: float
-    idle_ms: float  # idle timeout of endpoints' connections
-    known: EndpointList  # used until the first list from discovery
+    endpoint_idle_timeout_ms: float  # time after which an endpoint closes an idle connection
+    initial_endpoints: EndpointList  # used until discovery sends its first list
     peer_listen: Address | None
     peers: tuple[Address, ...]  # all gateways of the fleet, by number
-    peers_all: Address | None  # datagrams to it reach all peers
-    control: Address | None = None  # of the admin endpoint
-    private_folder: str = ""  # of the socket file for a hot restart; empty: no hot restart
+    peer_broadcast: Address | None  # a datagram to this address reaches all other gateways
+    admin_listen: Address | None = None  # address of the admin endpoint; None: there is no admin endpoint
+    socket_folder: str = ""  # folder of the socket file for hot restarts; empty: no hot restarts
 
     @property
     def shares_addresses(self) -> bool:
         """Whether a successor may bind the same addresses while this process runs."""
-        return bool(self.private_folder)
+        return bool(self.socket_folder)
 
 
 def address_from(text: object, path: str) -> Address:
@@ -118,7 +118,7 @@
     peers = _peers_from(top, own.gateways)
     control = top.text("control", environment.get("BALANCER_CONTROL", ""))
     peer_listen = top.text("peer_listen", "")
-    peers_all = top.text("peers_all", "")
+    peer_broadcast = top.text("peers_all", "")
     return Config(
         name=top.text("name", environment.get("BALANCER_NAME")),
         listen=address_from(top.text("listen", environment.get("BALANCER_LISTEN")), "config.listen"),
@@ -126,16 +126,18 @@
             top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"
         ),
         seed=seed,
-        sockets=int(top.object("limits", {}).number("sockets", 1024.0)),
+        max_descriptors=int(top.object("limits", {}).number("sockets", 1024.0)),
         settings=own,
         connect_timeout_ms=limits.number("dialTimeoutMs", 250.0),
-        idle_ms=limits.number("connIdleMs", 15_000.0),
-        known=endpoint_list_from(top.object("known", {"index": 0, "endpoints": []}).value, "config.known"),
+        endpoint_idle_timeout_ms=limits.number("connIdleMs", 15_000.0),
+        initial_endpoints=endpoint_list_from(
+            top.object("known", {"index": 0, "endpoints": []}).value, "config.known"
+        ),
         peer_listen=_optional_address_from(peer_listen, "config.peer_listen"),
         peers=peers,
-        peers_all=_optional_address_from(peers_all, "config.peers_all"),
-        control=_optional_address_from(control, "config.control"),
-        private_folder=environment.get("TMPDIR", ""),
+        peer_broadcast=_optional_address_from(peer_broadcast, "config.peers_all"),
+        admin_listen=_optional_address_from(control, "config.control"),
+        socket_folder=environment.get("TMPDIR", ""),
     )
 
 
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from gateway.gossip.codec import REPLIES, QuotaEntry, decode, encode
+from gateway.gossip.codec import REPLY_KINDS, QuotaEntry, decode, encode
 from gateway.interface import events
 from gateway.interface.actions import Action, SendGossip, SetTimer, SubscribeEndpoints
 from gateway.interface.settings import Settings
 from gateway.policy.context import CONTROL_PERIOD_MS, PolicyContext
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
-from gateway.policy.gossip.pace import GossipPace
+from gateway.policy.gossip.pace import GossipPacer
 from gateway.policy.quota.leader_bucket import LeaseKey
 from gateway.policy.requests.request_flow import RequestFlow
 from gateway.policy.requests.request_record import RequestRecord
@@ -31,7 +31,7 @@
         self.errors: list[Exception] = []  # errors raised by the events of the last turn
         self.context = PolicyContext(settings, seed)
         self.flow = RequestFlow(self.context, self._send_entry)
-        self.pace = GossipPace(self.context)
+        self.pacer = GossipPacer(self.context)
         self.selector = self.flow.attempts.selector
         self.directory = self.flow.attempts.selector.directory
         self._withdrawn: list[EndpointRecord] = []  # endpoints that stopped being ready in this turn
@@ -125,14 +125,14 @@
     def _on_gossip(self, event: events.GossipReceived) -> None:
         """Handle a datagram; an unreadable one, or one of an unknown sender, has no effect."""
         message = decode(event.data)
-        is_own = event.sender == self.settings.number and not self.context.role.has_sibling
+        is_own = event.sender == self.settings.gateway_number and not self.context.role.has_sibling
         if message is None or event.sender >= self.settings.gateways or is_own:
             return
-        self.pace.on_received(event.sender)
+        self.pacer.on_received(event.sender)
         self.flow.attempts.limiter.on_peer_target(message.target_concurrency)
         if not self.context.turn.follows_stall:  # observations are outdated after a stall
             self.selector.on_observations(message.observations)
-        self.flow.lease_client.on_gossip(event.sender)
+        self.flow.lease_client.mark_responsive(event.sender)
         for entry in message.entries:
             self._on_entry(event.sender, message.incarnation, entry)
 
@@ -141,15 +141,15 @@
     def _send_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
         """Send an entry to a gateway; one to this process is handled at once."""
         role = self.context.role
-        is_own = gateway == self.settings.number and not role.is_retired
+        is_own = gateway == self.settings.gateway_number and not role.is_retired
         if is_own and incarnation in (None, role.incarnation):
             self._on_entry(gateway, role.incarnation, entry)
         elif self.settings.may_gossip:
-            self.pace.outbox.add(gateway, entry)
+            self.pacer.outbox.add(gateway, entry)
 
     def _on_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
         """Handle an entry; one with a class or a plan that the settings lack has no effect."""
-        if entry.kind in REPLIES:
+        if entry.kind in REPLY_KINDS:
             self.flow.lease_client.on_reply(sender, entry)
             return
         has_plan = entry.plan_index < len(self.settings.plans)
@@ -178,7 +178,7 @@
         now_ms = self.context.turn.now_ms
         self.context.timers.schedule(now_ms + CONTROL_PERIOD_MS, TimerKind.CONTROL_PERIOD)
         self.flow.dispatcher.step()
-        self.pace.step()
+        self.pacer.decay_received_count()
         self.selector.step()
         if now_ms >= self._cleanup_at_ms:
             self._cleanup_at_ms = now_ms + CLEANUP_INTERVAL_MS
@@ -187,14 +187,14 @@
 
     def _clean_up(self) -> None:
         """Drop unused accounts, buckets and timers."""
-        self.flow.lease_client.accounts.drop_idle(self.flow.open_requests.values())
-        self.flow.leader.drop_idle()
+        self.flow.lease_client.accounts.drop_idle_accounts(self.flow.open_requests.values())
+        self.flow.leader.drop_idle_buckets()
         self.context.timers.compact(self.flow.open_requests)
 
     # -- actions at the end of a turn
 
     def _send_gossip(self) -> None:
-        messages = self.pace.take()
+        messages = self.pacer.take_messages()
         if not messages:
             return
         incarnation = self.context.role.incarnation
--- a/tests/gossip/test_codec_properties.py
+++ b/tests/gossip/test_codec_properties.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from gateway.gossip.codec import (
-    MAX_BYTES,
+    MAX_DATAGRAM_BYTES,
     MAX_ENTRIES,
     MAX_INDEXES,
     MAX_OBSERVATIONS,
@@ -15,7 +15,7 @@
     decode,
     encode,
     latency_ratio_of,
-    observe,
+    observation_of,
 )
 
 UINT16 = st.integers(0, 0xFFFF)
@@ -45,7 +45,7 @@
 @given(MESSAGES)
 def test_message_is_decoded_as_it_was_encoded(message):
     data = encode(*message)
-    assert len(data) <= MAX_BYTES
+    assert len(data) <= MAX_DATAGRAM_BYTES
     assert decode(data) == message
 
 
@@ -58,7 +58,7 @@
 
 
 @settings(deadline=None, max_examples=200)
-@given(st.sampled_from([b"", b"\x02"]), st.binary(max_size=MAX_BYTES + 8))
+@given(st.sampled_from([b"", b"\x02"]), st.binary(max_size=MAX_DATAGRAM_BYTES + 8))
 def test_any_bytes_are_a_message_or_none(version, data):
     message = decode(version + data)
     if message is not None:
@@ -79,5 +79,5 @@
 @settings(deadline=None, max_examples=100)
 @given(st.floats(0.25, 32.0))
 def test_observed_latency_is_exact_to_a_quarter_of_a_doubling(ratio):
-    observed = latency_ratio_of(observe("endpoint", 0, ratio))
+    observed = latency_ratio_of(observation_of("endpoint", 0, ratio))
     assert 2**-0.2501 <= observed / ratio <= 2**0.2501
