--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -43,7 +43,7 @@
             self._report_not_sent(action, 0)
         elif request.client.is_disconnected():
             self._requests.on_client_disconnected(request)
-            request.client.drop()
+            request.client.abort()
             self._report_not_sent(action, request.attempts)
         else:
             self._start(request, action)
--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -66,7 +66,7 @@
         if client.is_transferred:
             self.connections.add_transferred(client, self.clock.now())
         elif not self.connections.add(client, self.clock.now()):
-            client.drop()
+            client.abort()
         elif len(self.connections) > self.connections.max_kept and not self._is_eviction_scheduled:
             self._is_eviction_scheduled = True
             self.timers.at(self.clock.now() + EVICTION_DELAY_MS, self._evict)
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -260,7 +260,7 @@
         has_response = self.state is _DISCARDING or self.response_source is not None
         self._cancel_request()
         if has_response:
-            self.drop()
+            self.abort()
         else:
             self._finish(self._writer.error(status, close=True))
 
@@ -363,7 +363,7 @@
         """End the connection before a forwarded response is complete, so that the client detects it."""
         self.request = None
         self.response_source = None
-        self.drop()
+        self.abort()
 
     def _must_close(self) -> bool:
         is_ending = self.state is _PIPELINED or self.state is _CLOSING
@@ -400,7 +400,7 @@
 
     # -- the end of the connection
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Abort the connection."""
         self.state = _CLOSING
         self.transport.abort()
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -82,7 +82,7 @@
     def on_input_timeout(self) -> None:
         """Reject the request being received, or close the connection if there is none."""
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Abort the connection."""
 
 
@@ -163,7 +163,7 @@
                     return
                 if table is self._closing or not client.has_unread_input():
                     self.remove(client)
-                    client.drop()
+                    client.abort()
 
     def sweep(self, now: float, draining: bool) -> None:
         """Close the connections whose time is over."""
@@ -205,7 +205,7 @@
                 client.received_while_closing = False
                 self._closing[client] = self._closing.pop(client) + LINGER_TIMEOUT_MS
             else:
-                client.drop()
+                client.abort()
 
     def _leave_tables(self, client: LimitedConnection) -> None:
         for table in (self._awaiting_request, self._idle, self._closing):
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -42,7 +42,7 @@
     def is_disconnected(self) -> bool:
         """Return whether the client has ended its sending."""
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Abort the connection."""
 
 
--- a/gateway/network/clients/request_handler.py
+++ b/gateway/network/clients/request_handler.py
@@ -48,7 +48,7 @@
         """The connections of clients."""
 
     def on_client_connected(self, client: HandledConnection) -> None:
-        """Add a new connection, or drop it if there are too many."""
+        """Add a new connection, or abort it if there are too many."""
 
     def on_message_started(self, client: HandledConnection) -> None:
         """Note that the first byte of a request has been received."""
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -153,7 +153,7 @@
         transport.pause_reading()
         descriptor = os.dup(transport.get_extra_info("socket").fileno())
         self._link.send(Packet(PacketKind.CONNECTION, descriptors=[descriptor]))
-        client.drop()
+        client.abort()
         self._connections.remove(client)
 
 
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -179,7 +179,7 @@
         uploading = [request.client for request in self.open.values() if request.upload is not None]
         for client in uploading:
             if client.is_disconnected():
-                client.drop()
+                client.abort()
 
 
 def _framing(received: ReceivedRequest) -> bytes | None:
