--- a/gateway/network/admin/endpoint.py
+++ b/gateway/network/admin/endpoint.py
@@ -145,7 +145,7 @@
         self._transport = cast(asyncio.Transport, transport)
         self._endpoint.on_connected(self)
         gateway = self._endpoint.gateway
-        gateway.timers.at(
+        gateway.timers.call_at(
             gateway.clock.now() + REQUEST_TIMEOUT_MS,
             lambda: self._respond(AdminResponse(HTTPStatus.REQUEST_TIMEOUT)),
         )
@@ -203,4 +203,4 @@
         transport.write(response.encode())
         transport.write_eof()
         gateway = self._endpoint.gateway
-        gateway.timers.at(gateway.clock.now() + LINGER_TIMEOUT_MS, self.drop)
+        gateway.timers.call_at(gateway.clock.now() + LINGER_TIMEOUT_MS, self.drop)
--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -47,7 +47,7 @@
         self._attempt_runner = attempt_runner
         self._events = events
         self._is_eviction_scheduled = False
-        timers.at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
+        timers.call_at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     @property
     def ready(self) -> bool:
@@ -69,7 +69,7 @@
             client.abort()
         elif len(self.connections) > self.connections.max_kept and not self._is_eviction_scheduled:
             self._is_eviction_scheduled = True
-            self.timers.at(self.clock.now() + EVICTION_DELAY_MS, self._evict)
+            self.timers.call_at(self.clock.now() + EVICTION_DELAY_MS, self._evict)
 
     def on_message_started(self, client: HandledConnection) -> None:
         """Note that a request begins to be received."""
@@ -107,7 +107,7 @@
 
     def _sweep(self) -> None:
         now_ms = self.clock.now()
-        self.timers.at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
+        self.timers.call_at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
         self.hand_over_idle()
         self._requests.drop_disconnected_uploads()
         self.connections.sweep(now_ms, self.draining)
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -244,7 +244,7 @@
         pause_ms = MIN_REJECTION_PAUSE_MS * 2 ** min(self._rejections, MAX_PAUSE_DOUBLINGS)
         self._rejections += 1
         resume_at_ms = self._handler.clock.now() + min(MAX_REJECTION_PAUSE_MS, pause_ms)
-        self._handler.timers.at(resume_at_ms, self._resume_after_rejection)
+        self._handler.timers.call_at(resume_at_ms, self._resume_after_rejection)
 
     def _resume_after_rejection(self) -> None:
         if self.state is _PAUSED:
--- a/gateway/network/clock.py
+++ b/gateway/network/clock.py
@@ -50,7 +50,7 @@
         self._handle: asyncio.TimerHandle | None = None
         self._armed_ms = math.inf
 
-    def at(self, when_ms: float, call: Callable[[], None]) -> Timer:
+    def call_at(self, when_ms: float, call: Callable[[], None]) -> Timer:
         """Schedule a call at that time of the clock or soon after, never before."""
         self._scheduled += 1
         timer = Timer(call)
@@ -69,7 +69,7 @@
 
     def _expire(self) -> None:
         self._handle = None
-        self._armed_ms = -math.inf  # `at` does not arm while expired timers are called
+        self._armed_ms = -math.inf  # `call_at` does not arm while expired timers are called
         now_ms = self._clock.now()
         heap = self._heap
         try:
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -47,7 +47,7 @@
         self._events = events
         self._last_id = 0
         self._end_ms = math.inf  # time of the clock by which all requests are answered
-        timers.at(clock.now() + ID_MEMORY_MS, self.rotate_ids)
+        timers.call_at(clock.now() + ID_MEMORY_MS, self.rotate_ids)
 
     # -- acceptance
 
@@ -90,7 +90,7 @@
 
     def start_guard(self, request: OpenRequest, deadline_at_ms: float) -> None:
         """Answer the request shortly before its deadline, whatever the controller does."""
-        request.guard = self._timers.at(
+        request.guard = self._timers.call_at(
             deadline_at_ms - GUARD_MARGIN_MS, lambda: self._on_guard_expired(request)
         )
 
@@ -168,7 +168,7 @@
 
     def rotate_ids(self) -> None:
         """Forget the ids of requests that had ended before the last rotation; repeats itself."""
-        self._timers.at(self._clock.now() + ID_MEMORY_MS, self.rotate_ids)
+        self._timers.call_at(self._clock.now() + ID_MEMORY_MS, self.rotate_ids)
         self.ids.rotate()
 
     def drop_disconnected_uploads(self) -> None:
--- a/gateway/network/upstream/pool.py
+++ b/gateway/network/upstream/pool.py
@@ -61,7 +61,7 @@
         self.registry = EndpointRegistry()
         self._streaming: set[UpstreamConnection] = set()  # connections that forward a request or a response
         self._connections = 0  # open or being opened, to all endpoints
-        timers.at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
+        timers.call_at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     def limit(self, connections: int) -> None:
         """Change the limit on the connections to all endpoints."""
@@ -94,7 +94,7 @@
         if attempt.upload is None or attempt.upload.is_complete:
             self.set_timeout(attempt, timeout_ms)
         if attempt.send_by_ms < math.inf:
-            attempt.send_by_timer = self._timers.at(attempt.send_by_ms, attempt.expire)
+            attempt.send_by_timer = self._timers.call_at(attempt.send_by_ms, attempt.expire)
         # The event loop may have been delayed since the controller decided to send.
         if attempt.may_send(now_ms):
             self._send(attempt, now_ms)
@@ -103,7 +103,7 @@
 
     def set_timeout(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
         """End the attempt if it has no response after this time from now."""
-        attempt.timeout_timer = self._timers.at(
+        attempt.timeout_timer = self._timers.call_at(
             self.clock.now() + timeout_ms, lambda: attempt.fail(AttemptResult.TIMEOUT)
         )
 
@@ -126,7 +126,7 @@
         endpoint.connections += 1
         self._connections += 1
         endpoint.connecting.append(attempt)
-        attempt.connect_timer = self._timers.at(
+        attempt.connect_timer = self._timers.call_at(
             now_ms + self._connect_timeout_ms, lambda: attempt.fail(AttemptResult.CONNECT_FAILED)
         )
         connect_task = self._loop.create_task(
@@ -179,7 +179,7 @@
     def _sweep(self) -> None:
         """Abort stalled attempts, and close connections before their endpoints' idle timeout."""
         now_ms = self.clock.now()
-        self._timers.at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
+        self._timers.call_at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
         for connection in [one for one in self._streaming if one.is_stalled(now_ms)]:
             connection.abort_attempt()
         idle_before_ms = now_ms - self._idle_timeout_ms + SWEEP_INTERVAL_MS
--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -98,14 +98,14 @@
 async def test_repeated_bad_requests_are_read_with_backoff(gateway, client):
     """Each rejected request doubles the pause before the next is read; its error is sent at once."""
     gateway.frontend.timers = Timers(asyncio.get_running_loop(), gateway.clock)
-    call_at = gateway.frontend.timers.at
+    call_at = gateway.frontend.timers.call_at
     pauses_ms = []
 
     def call_now(at_ms, callback):
         pauses_ms.append(round(at_ms - gateway.clock.now()))
         call_at(0.0, callback)
 
-    gateway.frontend.timers.at = call_now
+    gateway.frontend.timers.call_at = call_now
     for _ in range(7):
         assert (await client.send(http_request(path="/none")).next_response()).status == 404
     assert pauses_ms == [50, 100, 200, 400, 800, 1000, 1000]
--- a/tests/network/test_clock.py
+++ b/tests/network/test_clock.py
@@ -20,8 +20,8 @@
             done.set()
 
     for at_ms in (30.5, 10.25, 20.0, 0.0):
-        timers.at(start + at_ms, lambda at_ms=at_ms: fire(at_ms))
-    timers.at(start + 15, lambda: fire(15)).cancel()
+        timers.call_at(start + at_ms, lambda at_ms=at_ms: fire(at_ms))
+    timers.call_at(start + 15, lambda: fire(15)).cancel()
     await done.wait()
     assert fired == [0.0, 10.25, 20.0, 30.5]
 
@@ -32,8 +32,8 @@
     loop.set_exception_handler(lambda *_: None)
     timers = Timers(loop, clock)
     done = asyncio.Event()
-    timers.at(clock.now(), lambda: 1 / 0)
-    timers.at(clock.now(), done.set)
+    timers.call_at(clock.now(), lambda: 1 / 0)
+    timers.call_at(clock.now(), done.set)
     await done.wait()
 
 
--- a/tests/network/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -72,7 +72,7 @@
 async def test_wake_ups_within_one_tick_share_a_turn_and_are_never_early(gateway, client):
     times = []
     gateway.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
-    gateway.timers = type("Kept", (), {"at": staticmethod(lambda at_ms, call: times.append(at_ms))})
+    gateway.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
     for after_ms in (0.0, 0.5, 4.0, 4.5):
         gateway.set_timer(SetTimer(after_ms, "agenda"))
     assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -33,7 +33,7 @@
     def now(self):
         return self.now_ms
 
-    def at(self, when_ms, call):
+    def call_at(self, when_ms, call):
         timer = Timer(call)
         heapq.heappush(self._heap, (when_ms, len(self._heap), timer))
         return timer
