--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -324,7 +324,7 @@
             self._send_complete(HTTPStatus.SERVICE_UNAVAILABLE, b"not up\n", TEXT)
 
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
-        """Write the head of a response whose parts follow by `forward`."""
+        """Write the head of a response whose parts follow by `forward_part`."""
         self.response_source = source
         if self.transport.is_closing():
             return
@@ -333,7 +333,7 @@
         head = self._writer.start(length, content_type, chunked=chunked, close=self._must_close())
         self.transport.write(head)
 
-    def forward(self, part: bytes) -> None:
+    def forward_part(self, part: bytes) -> None:
         """Write the next part of a response."""
         if not self.transport.is_closing():
             self.transport.write(self._writer.part(part))
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -30,7 +30,7 @@
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
         """Write the head of a response that is forwarded while it is received."""
 
-    def forward(self, part: bytes) -> None:
+    def forward_part(self, part: bytes) -> None:
         """Write the next part of a forwarded response."""
 
     def finish_response(self) -> None:
--- a/gateway/network/upstream/exchange.py
+++ b/gateway/network/upstream/exchange.py
@@ -123,7 +123,7 @@
 
     def _on_body_part(self, data: bytes) -> None:
         if self.sink is not None:
-            self.sink.forward(data)
+            self.sink.forward_part(data)
             return
         self._body_parts.append(data)
         self._body_size += len(data)
@@ -141,5 +141,5 @@
         if self.sink is None:
             self.state = _FAILED
             return
-        self.sink.forward(b"".join(self._body_parts))
+        self.sink.forward_part(b"".join(self._body_parts))
         self._body_parts = []
--- a/gateway/network/upstream/response_sink.py
+++ b/gateway/network/upstream/response_sink.py
@@ -11,5 +11,5 @@
 
     transport: asyncio.Transport
 
-    def forward(self, part: bytes) -> None:
+    def forward_part(self, part: bytes) -> None:
         """Write the next part of the body."""
--- a/tests/network/upstream/test_exchange.py
+++ b/tests/network/upstream/test_exchange.py
@@ -23,7 +23,7 @@
     def __init__(self):
         self.parts = []
 
-    def forward(self, part):
+    def forward_part(self, part):
         self.parts.append(part)
 
 
