--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -97,8 +97,8 @@
         request.streaming_attempt = attempt.number
         attempt.on_forwarding_started(self._clock.now())
         # From now on the response ends by itself, or when no progress is made.
-        if request.guard is not None:
-            request.guard.cancel()
+        if request.guard_timer is not None:
+            request.guard_timer.cancel()
         request.client.start_response(source, length, content_type)
         self._events.enqueue(ResponseStarted(request.id, attempt.number, attempt.endpoint_id))
         return request.client
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -60,7 +60,7 @@
     wait_ms: float  # how long the client waits, from the request's last byte
     attempts: int = 0
     streaming_attempt: int | None = None  # the attempt whose response is forwarded while it is received
-    guard: Timer | None = None  # sends a response before the deadline if the controller does not
+    guard_timer: Timer | None = None  # sends a response before the deadline if the controller does not
 
     def message(self, deadline_ms: float) -> bytes:
         """Return the bytes of an attempt, with the time that remains for it in milliseconds."""
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -90,7 +90,7 @@
 
     def start_guard(self, request: OpenRequest, deadline_at_ms: float) -> None:
         """Answer the request shortly before its deadline, whatever the controller does."""
-        request.guard = self._timers.call_at(
+        request.guard_timer = self._timers.call_at(
             deadline_at_ms - GUARD_MARGIN_MS, lambda: self._on_guard_expired(request)
         )
 
@@ -155,8 +155,8 @@
         if self.open.pop(request.id, None) is None:
             return False
         self.ids.end(request.request_id)
-        if request.guard is not None:
-            request.guard.cancel()
+        if request.guard_timer is not None:
+            request.guard_timer.cancel()
         self._attempts.expire_unsent(request)
         return True
 
