--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -68,7 +68,7 @@
             request.id,
             request.attempts,
             action.endpoint,
-            request.message(timeout_ms),
+            request.attempt_message(timeout_ms),
             upload,
             self,
             action.send_by_ms,
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -62,7 +62,7 @@
     streaming_attempt: int | None = None  # the attempt whose response is forwarded while it is received
     guard_timer: Timer | None = None  # sends a response before the deadline if the controller does not
 
-    def message(self, deadline_ms: float) -> bytes:
+    def attempt_message(self, deadline_ms: float) -> bytes:
         """Return the bytes of an attempt, with the time that remains for it in milliseconds."""
         return b"%s%d\r\n\r\n%s" % (self.head, max(MIN_ATTEMPT_DEADLINE_MS, int(deadline_ms)), self.body)
 
