--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -44,7 +44,7 @@
         elif request.client.is_disconnected():
             self._requests.on_client_disconnected(request)
             request.client.abort()
-            self._report_not_sent(action, request.attempts)
+            self._report_not_sent(action, request.attempt_count)
         else:
             self._start(request, action)
 
@@ -66,14 +66,14 @@
         timeout_ms = action.timeout_ms if upload is None or upload.is_complete else request.wait_ms
         attempt = UpstreamAttempt(
             request.id,
-            request.attempts,
+            request.attempt_count,
             action.endpoint,
             request.attempt_message(timeout_ms),
             upload,
             self,
             action.send_by_ms,
         )
-        request.attempts += 1
+        request.attempt_count += 1
         self._attempts.add(attempt)
         self._upstreams.start(attempt, action.timeout_ms)
 
--- a/gateway/network/attempt_table.py
+++ b/gateway/network/attempt_table.py
@@ -27,7 +27,7 @@
 
     def of_request(self, request: OpenRequest) -> list[UpstreamAttempt]:
         """Return the attempts of a request that are in flight."""
-        keys = ((request.id, number) for number in range(request.attempts))
+        keys = ((request.id, number) for number in range(request.attempt_count))
         return [self.in_flight[key] for key in keys if key in self.in_flight]
 
     def expire_unsent(self, request: OpenRequest) -> None:
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -58,7 +58,7 @@
     body: bytes  # empty where there is an upload
     upload: Upload | None  # a body that is forwarded while it is received
     wait_ms: float  # how long the client waits, from the request's last byte
-    attempts: int = 0
+    attempt_count: int = 0
     streaming_attempt: int | None = None  # the attempt whose response is forwarded while it is received
     guard_timer: Timer | None = None  # sends a response before the deadline if the controller does not
 
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -98,8 +98,8 @@
         return self.table.add(self.client, parsed, received)
 
     def attempt(self, request):
-        attempt = RecordingAttempt(request, request.attempts)
-        request.attempts += 1
+        attempt = RecordingAttempt(request, request.attempt_count)
+        request.attempt_count += 1
         self.attempts.add(attempt)
         return attempt
 
