--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -92,13 +92,13 @@
         successor = self._role.successor
         if successor is None:
             return
-        for client in list(self.connections.all):
+        for client in list(self.connections.open_connections):
             if client.is_transferable():
                 successor.hand_over(client)
 
     def close_idle(self) -> None:
         """Close each idle connection."""
-        for client in list(self.connections.all):
+        for client in list(self.connections.open_connections):
             client.close_if_idle()
 
     def _evict(self) -> None:
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -95,14 +95,14 @@
     def __init__(self, descriptors: int) -> None:
         """Start without connections."""
         self.limit(descriptors)
-        self.all: set[LimitedConnection] = set()
+        self.open_connections: set[LimitedConnection] = set()
         self._awaiting_request: Table = {}
         self._idle: Table = {}
         self._closing: Table = {}
 
     def __len__(self) -> int:
         """Return the number of connections."""
-        return len(self.all)
+        return len(self.open_connections)
 
     def limit(self, descriptors: int) -> None:
         """Derive all limits from a number of descriptors."""
@@ -117,20 +117,20 @@
         self.max_admitted += 1
         self.max_idle += 1
         self.overload_threshold += 1
-        self.all.add(client)
+        self.open_connections.add(client)
         self._idle[client] = now
 
     def add(self, client: LimitedConnection, now: float) -> bool:
         """Add a new connection, and return whether it is admitted."""
-        if len(self.all) >= self.max_admitted:
+        if len(self.open_connections) >= self.max_admitted:
             return False
-        self.all.add(client)
+        self.open_connections.add(client)
         self._awaiting_request[client] = now
         return True
 
     def remove(self, client: LimitedConnection) -> None:
         """Remove a connection that has closed or that another process serves."""
-        self.all.discard(client)
+        self.open_connections.discard(client)
         self._leave_tables(client)
 
     def on_message_started(self, client: LimitedConnection, now: float) -> None:
@@ -159,7 +159,7 @@
         """
         for table in (self._closing, self._awaiting_request, self._idle):
             for client in list(table):
-                if len(self.all) <= self.max_kept:
+                if len(self.open_connections) <= self.max_kept:
                     return
                 if table is self._closing or not client.has_unread_input():
                     self.remove(client)
@@ -180,7 +180,7 @@
 
     def _sweep_overload(self, now: float) -> None:
         """Close connections without a request early while they would exclude other clients."""
-        excess = len(self.all) - len(self._closing) - self.overload_threshold
+        excess = len(self.open_connections) - len(self._closing) - self.overload_threshold
         if excess <= 0:
             return
         awaiting = _older_than(self._awaiting_request, now, OVERLOAD_IDLE_MS)
--- a/tests/network/clients/test_connection.py
+++ b/tests/network/clients/test_connection.py
@@ -58,7 +58,7 @@
     gc.collect()
     gc.disable()
     try:
-        one = weakref.ref(*gateway.connections.all)
+        one = weakref.ref(*gateway.connections.open_connections)
         client.close()
         while one() is not None:
             await asyncio.sleep(0)
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -42,7 +42,7 @@
         await complete_request(endpoint, client)
     else:
         await until_connected(gateway, 1)
-    (connection,) = gateway.connections.all
+    (connection,) = gateway.connections.open_connections
     send_without_reading(client, connection)
     if close == "at shutdown":
         gateway.drain()
--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -48,13 +48,13 @@
     """The end of the connection is detected although the response is not written completely."""
     client.send(http_request())
     arrival = await controller.next_event(RequestArrived)
-    (connection,) = gateway.connections.all
+    (connection,) = gateway.connections.open_connections
     client.reader._transport.pause_reading()
     connection.transport.write(bytes(16 << 20))
     client.writer.write_eof()
     async with asyncio.timeout(5):
         assert (await controller.next_event(ClientDisconnected)).id == arrival.id
-        while gateway.connections.all:  # its descriptor becomes free
+        while gateway.connections.open_connections:  # its descriptor becomes free
             await asyncio.sleep(0.01)
 
 
--- a/tests/network/clients/test_timeouts.py
+++ b/tests/network/clients/test_timeouts.py
@@ -21,11 +21,11 @@
 async def test_incomplete_request_times_out_with_an_error_or_a_close(sent, status, gateway, client):
     """That takes 2 to 3 s, including the interval of the sweep."""
     client.send(sent)
-    while sent and not any(one.reader.raw_size for one in gateway.connections.all):
+    while sent and not any(one.reader.raw_size for one in gateway.connections.open_connections):
         await asyncio.sleep(0)
     await until_connected(gateway, 1)
     sweep_after(gateway, 2000)
-    (connection,) = gateway.connections.all
+    (connection,) = gateway.connections.open_connections
     assert not connection.is_closing
     sweep_after(gateway, 3000 - SWEEP_INTERVAL_MS)
     response = await client.next_response()
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -78,7 +78,7 @@
     client.send(upload(total) + bytes(total))
     _, writer = await endpoint.accepted.get()
     writer.transport.pause_reading()
-    (connection,) = gateway.connections.all
+    (connection,) = gateway.connections.open_connections
     (attempt,) = gateway.attempts.in_flight.values()
     await wait_until(
         lambda: attempt.connection
@@ -157,8 +157,8 @@
 @pytest.mark.parametrize(("bytes_per_s", "is_accepted"), [(64_000, True), (8_000, False)])
 async def test_slow_body_is_accepted_above_its_minimum_rate(bytes_per_s, is_accepted, gateway, client):
     client.send(upload(300_000) + bytes(4 * bytes_per_s - 10))
-    await wait_until(lambda: gateway.connections.all)
-    (connection,) = gateway.connections.all
+    await wait_until(lambda: gateway.connections.open_connections)
+    (connection,) = gateway.connections.open_connections
     await wait_until(lambda: connection.reader.body_size == 4 * bytes_per_s - 10)
     gateway.connections.sweep(gateway.clock.now() + 4000, False)
     assert connection.is_closing is not is_accepted and INPUT_TIMEOUT_MS < 4000
--- a/tests/network/test_streamed_responses.py
+++ b/tests/network/test_streamed_responses.py
@@ -83,7 +83,7 @@
     total = 32 * 1024 * 1024
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % total + bytes(total))
     await controller.next_event(ResponseStarted)
-    (connection,) = gateway.connections.all
+    (connection,) = gateway.connections.open_connections
     await wait_until(lambda: not connection.response_source.transport.is_reading())
     assert connection.transport.get_write_buffer_size() < 1024 * 1024
     client.reader._transport.resume_reading()
