--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -96,7 +96,7 @@
             if client.is_transferable():
                 successor.hand_over(client)
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close each idle connection."""
         for client in list(self.connections.open_connections):
             client.close_if_idle()
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -46,7 +46,7 @@
     send_without_reading(client, connection)
     if close == "at shutdown":
         gateway.drain()
-        gateway.frontend.close_idle()
+        gateway.frontend.close_idle_connections()
     else:
         gateway.connections.max_kept = 0
         gateway.connections.evict_excess()
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -31,7 +31,7 @@
             sock.sendall(http_request())  # not accepted yet, because nothing was awaited since
             await handover.close()
             gateway.drain()
-            gateway.frontend.close_idle()
+            gateway.frontend.close_idle_connections()
             _, writer = await endpoint.next_request()
             writer.write(http_response())
             assert (await asyncio.to_thread(sock.recv, 99)).startswith(b"HTTP/1.1 200")
