--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -79,7 +79,7 @@
         """Note that a connection is idle after a response; hand it over if a successor serves."""
         self.connections.on_idle(client, self.clock.now())
         if self._role.is_retired:
-            self._loop.call_soon(self.hand_over_idle)
+            self._loop.call_soon(self.hand_over_idle_connections)
 
     def on_client_closed(self, client: HandledConnection, request: OpenRequest | None) -> None:
         """Remove a connection that has ended, and close the request that was open on it."""
@@ -87,7 +87,7 @@
         if request is not None:
             self.on_client_gone(request)
 
-    def hand_over_idle(self) -> None:
+    def hand_over_idle_connections(self) -> None:
         """Hand over each idle connection to the successor, if there is one."""
         successor = self._role.successor
         if successor is None:
@@ -108,7 +108,7 @@
     def _sweep(self) -> None:
         now_ms = self.clock.now()
         self.timers.call_at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
-        self.hand_over_idle()
+        self.hand_over_idle_connections()
         self._requests.drop_disconnected_uploads()
         self.connections.sweep(now_ms, self.draining)
 
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -228,6 +228,6 @@
 
     def continue_draining(self) -> bool:
         """Hand over or close idle connections; return whether open work remains."""
-        self.frontend.hand_over_idle()
+        self.frontend.hand_over_idle_connections()
         self.frontend.close_idle_connections()
         return self.has_open_work()
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -115,7 +115,7 @@
         )
         _send_state(link, state.encode())
         self._send_sockets(link)
-        gateway.frontend.hand_over_idle()
+        gateway.frontend.hand_over_idle_connections()
         log.info(
             "hot restart: gateway %s handed over to its successor, %d open requests remain",
             gateway.config.name,
