--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -218,7 +218,7 @@
         self.role.phase = ServicePhase.SHUTTING_DOWN
         self.requests.begin_shutdown(self.clock.now() + within_ms)
 
-    def drain(self) -> None:
+    def start_draining(self) -> None:
         """Close each connection after its response, from now on."""
         self.role.phase = ServicePhase.DRAINING
 
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -153,7 +153,7 @@
 
     async def _finish_open_requests(self) -> None:
         await self._hot_restart.close()
-        self._gateway.drain()
+        self._gateway.start_draining()
         self._gateway.frontend.close_idle_connections()
         end_at_s = self._loop.time() + FINISH_TIMEOUT_S
         while self._gateway.continue_draining() and self._loop.time() < end_at_s:
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -45,7 +45,7 @@
     (connection,) = gateway.connections.open_connections
     send_without_reading(client, connection)
     if close == "at shutdown":
-        gateway.drain()
+        gateway.start_draining()
         gateway.frontend.close_idle_connections()
     else:
         gateway.connections.max_kept = 0
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -30,7 +30,7 @@
         with socket.create_connection((HOST, port), 5) as sock:
             sock.sendall(http_request())  # not accepted yet, because nothing was awaited since
             await handover.close()
-            gateway.drain()
+            gateway.start_draining()
             gateway.frontend.close_idle_connections()
             _, writer = await endpoint.next_request()
             writer.write(http_response())
