--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -43,8 +43,8 @@
             self._report_not_sent(action, 0)
         elif request.client.is_disconnected():
             self._requests.on_client_disconnected(request)
-            request.client.drop()
-            self._report_not_sent(action, request.attempts)
+            request.client.abort()
+            self._report_not_sent(action, request.attempt_count)
         else:
             self._start(request, action)
 
@@ -66,14 +66,14 @@
         timeout_ms = action.timeout_ms if upload is None or upload.is_complete else request.wait_ms
         attempt = UpstreamAttempt(
             request.id,
-            request.attempts,
+            request.attempt_count,
             action.endpoint,
-            request.message(timeout_ms),
+            request.attempt_message(timeout_ms),
             upload,
             self,
             action.send_by_ms,
         )
-        request.attempts += 1
+        request.attempt_count += 1
         self._attempts.add(attempt)
         self._upstreams.start(attempt, action.timeout_ms)
 
@@ -97,8 +97,8 @@
         request.streaming_attempt = attempt.number
         attempt.on_forwarding_started(self._clock.now())
         # From now on the response ends by itself, or when no progress is made.
-        if request.guard is not None:
-            request.guard.cancel()
+        if request.guard_timer is not None:
+            request.guard_timer.cancel()
         request.client.start_response(source, length, content_type)
         self._events.enqueue(ResponseStarted(request.id, attempt.number, attempt.endpoint_id))
         return request.client
--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -47,7 +47,7 @@
         self._attempt_runner = attempt_runner
         self._events = events
         self._is_eviction_scheduled = False
-        timers.at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
+        timers.call_at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     @property
     def ready(self) -> bool:
@@ -66,10 +66,10 @@
         if client.is_transferred:
             self.connections.add_transferred(client, self.clock.now())
         elif not self.connections.add(client, self.clock.now()):
-            client.drop()
+            client.abort()
         elif len(self.connections) > self.connections.max_kept and not self._is_eviction_scheduled:
             self._is_eviction_scheduled = True
-            self.timers.at(self.clock.now() + EVICTION_DELAY_MS, self._evict)
+            self.timers.call_at(self.clock.now() + EVICTION_DELAY_MS, self._evict)
 
     def on_message_started(self, client: HandledConnection) -> None:
         """Note that a request begins to be received."""
@@ -79,7 +79,7 @@
         """Note that a connection is idle after a response; hand it over if a successor serves."""
         self.connections.on_idle(client, self.clock.now())
         if self._role.is_retired:
-            self._loop.call_soon(self.hand_over_idle)
+            self._loop.call_soon(self.hand_over_idle_connections)
 
     def on_client_closed(self, client: HandledConnection, request: OpenRequest | None) -> None:
         """Remove a connection that has ended, and close the request that was open on it."""
@@ -87,18 +87,18 @@
         if request is not None:
             self.on_client_gone(request)
 
-    def hand_over_idle(self) -> None:
+    def hand_over_idle_connections(self) -> None:
         """Hand over each idle connection to the successor, if there is one."""
         successor = self._role.successor
         if successor is None:
             return
-        for client in list(self.connections.all):
+        for client in list(self.connections.open_connections):
             if client.is_transferable():
                 successor.hand_over(client)
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close each idle connection."""
-        for client in list(self.connections.all):
+        for client in list(self.connections.open_connections):
             client.close_if_idle()
 
     def _evict(self) -> None:
@@ -107,8 +107,8 @@
 
     def _sweep(self) -> None:
         now_ms = self.clock.now()
-        self.timers.at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
-        self.hand_over_idle()
+        self.timers.call_at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
+        self.hand_over_idle_connections()
         self._requests.drop_disconnected_uploads()
         self.connections.sweep(now_ms, self.draining)
 
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -244,7 +244,7 @@
         pause_ms = MIN_REJECTION_PAUSE_MS * 2 ** min(self._rejections, MAX_PAUSE_DOUBLINGS)
         self._rejections += 1
         resume_at_ms = self._handler.clock.now() + min(MAX_REJECTION_PAUSE_MS, pause_ms)
-        self._handler.timers.at(resume_at_ms, self._resume_after_rejection)
+        self._handler.timers.call_at(resume_at_ms, self._resume_after_rejection)
 
     def _resume_after_rejection(self) -> None:
         if self.state is _PAUSED:
@@ -260,7 +260,7 @@
         has_response = self.state is _DISCARDING or self.response_source is not None
         self._cancel_request()
         if has_response:
-            self.drop()
+            self.abort()
         else:
             self._finish(self._writer.error(status, close=True))
 
@@ -324,7 +324,7 @@
             self._send_complete(HTTPStatus.SERVICE_UNAVAILABLE, b"not up\n", TEXT)
 
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
-        """Write the head of a response whose parts follow by `forward`."""
+        """Write the head of a response whose parts follow by `forward_part`."""
         self.response_source = source
         if self.transport.is_closing():
             return
@@ -333,7 +333,7 @@
         head = self._writer.start(length, content_type, chunked=chunked, close=self._must_close())
         self.transport.write(head)
 
-    def forward(self, part: bytes) -> None:
+    def forward_part(self, part: bytes) -> None:
         """Write the next part of a response."""
         if not self.transport.is_closing():
             self.transport.write(self._writer.part(part))
@@ -363,7 +363,7 @@
         """End the connection before a forwarded response is complete, so that the client detects it."""
         self.request = None
         self.response_source = None
-        self.drop()
+        self.abort()
 
     def _must_close(self) -> bool:
         is_ending = self.state is _PIPELINED or self.state is _CLOSING
@@ -400,7 +400,7 @@
 
     # -- the end of the connection
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Abort the connection."""
         self.state = _CLOSING
         self.transport.abort()
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -30,7 +30,7 @@
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
         """Write the head of a response that is forwarded while it is received."""
 
-    def forward(self, part: bytes) -> None:
+    def forward_part(self, part: bytes) -> None:
         """Write the next part of a forwarded response."""
 
     def finish_response(self) -> None:
@@ -42,7 +42,7 @@
     def is_disconnected(self) -> bool:
         """Return whether the client has ended its sending."""
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Abort the connection."""
 
 
@@ -58,11 +58,11 @@
     body: bytes  # empty where there is an upload
     upload: Upload | None  # a body that is forwarded while it is received
     wait_ms: float  # how long the client waits, from the request's last byte
-    attempts: int = 0
+    attempt_count: int = 0
     streaming_attempt: int | None = None  # the attempt whose response is forwarded while it is received
-    guard: Timer | None = None  # sends a response before the deadline if the controller does not
+    guard_timer: Timer | None = None  # sends a response before the deadline if the controller does not
 
-    def message(self, deadline_ms: float) -> bytes:
+    def attempt_message(self, deadline_ms: float) -> bytes:
         """Return the bytes of an attempt, with the time that remains for it in milliseconds."""
         return b"%s%d\r\n\r\n%s" % (self.head, max(MIN_ATTEMPT_DEADLINE_MS, int(deadline_ms)), self.body)
 
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -137,7 +137,7 @@
         earliest_ms = self.clock.now() + action.after_ms
         tick_ms = max(1.0, self.config.settings.tick_ms)
         due_ms = math.ceil(earliest_ms / tick_ms) * tick_ms
-        self.timers.at(due_ms, lambda: self.controller_loop.enqueue(fired))
+        self.timers.call_at(due_ms, lambda: self.controller_loop.enqueue(fired))
 
     def send_gossip(self, action: SendGossip) -> None:
         """Send a datagram to a peer, or to another process of this gateway."""
@@ -218,7 +218,7 @@
         self.role.phase = ServicePhase.SHUTTING_DOWN
         self.requests.begin_shutdown(self.clock.now() + within_ms)
 
-    def drain(self) -> None:
+    def start_draining(self) -> None:
         """Close each connection after its response, from now on."""
         self.role.phase = ServicePhase.DRAINING
 
@@ -228,6 +228,6 @@
 
     def continue_draining(self) -> bool:
         """Hand over or close idle connections; return whether open work remains."""
-        self.frontend.hand_over_idle()
-        self.frontend.close_idle()
+        self.frontend.hand_over_idle_connections()
+        self.frontend.close_idle_connections()
         return self.has_open_work()
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -115,7 +115,7 @@
         )
         _send_state(link, state.encode())
         self._send_sockets(link)
-        gateway.frontend.hand_over_idle()
+        gateway.frontend.hand_over_idle_connections()
         log.info(
             "hot restart: gateway %s handed over to its successor, %d open requests remain",
             gateway.config.name,
@@ -153,7 +153,7 @@
         transport.pause_reading()
         descriptor = os.dup(transport.get_extra_info("socket").fileno())
         self._link.send(Packet(PacketKind.CONNECTION, descriptors=[descriptor]))
-        client.drop()
+        client.abort()
         self._connections.remove(client)
 
 
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -47,7 +47,7 @@
         self._events = events
         self._last_id = 0
         self._end_ms = math.inf  # time of the clock by which all requests are answered
-        timers.at(clock.now() + ID_MEMORY_MS, self.rotate_ids)
+        timers.call_at(clock.now() + ID_MEMORY_MS, self.rotate_ids)
 
     # -- acceptance
 
@@ -90,7 +90,7 @@
 
     def start_guard(self, request: OpenRequest, deadline_at_ms: float) -> None:
         """Answer the request shortly before its deadline, whatever the controller does."""
-        request.guard = self._timers.at(
+        request.guard_timer = self._timers.call_at(
             deadline_at_ms - GUARD_MARGIN_MS, lambda: self._on_guard_expired(request)
         )
 
@@ -155,8 +155,8 @@
         if self.open.pop(request.id, None) is None:
             return False
         self.ids.end(request.request_id)
-        if request.guard is not None:
-            request.guard.cancel()
+        if request.guard_timer is not None:
+            request.guard_timer.cancel()
         self._attempts.expire_unsent(request)
         return True
 
@@ -168,7 +168,7 @@
 
     def rotate_ids(self) -> None:
         """Forget the ids of requests that had ended before the last rotation; repeats itself."""
-        self._timers.at(self._clock.now() + ID_MEMORY_MS, self.rotate_ids)
+        self._timers.call_at(self._clock.now() + ID_MEMORY_MS, self.rotate_ids)
         self.ids.rotate()
 
     def drop_disconnected_uploads(self) -> None:
@@ -179,7 +179,7 @@
         uploading = [request.client for request in self.open.values() if request.upload is not None]
         for client in uploading:
             if client.is_disconnected():
-                client.drop()
+                client.abort()
 
 
 def _framing(received: ReceivedRequest) -> bytes | None:
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -33,7 +33,7 @@
     def now(self):
         return self.now_ms
 
-    def at(self, when_ms, call):
+    def call_at(self, when_ms, call):
         timer = Timer(call)
         heapq.heappush(self._heap, (when_ms, len(self._heap), timer))
         return timer
@@ -98,8 +98,8 @@
         return self.table.add(self.client, parsed, received)
 
     def attempt(self, request):
-        attempt = RecordingAttempt(request, request.attempts)
-        request.attempts += 1
+        attempt = RecordingAttempt(request, request.attempt_count)
+        request.attempt_count += 1
         self.attempts.add(attempt)
         return attempt
 
