--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -175,7 +175,7 @@
         self.role.retire(successor)
         self.gossip_socket.stop_listening()
         self.upstreams.close_idle_connections()
-        self.upstreams.limit(self.upstreams.connections)
+        self.upstreams.set_max_connections(self.upstreams.connections)
         return hot_restart.export_state(self.controller_loop.controller, self.clock.now())
 
     def take_over(
@@ -205,7 +205,7 @@
 
     def _limit_descriptors(self, descriptors: int) -> None:
         self.connections.limit(shareable_descriptors(descriptors))
-        self.upstreams.limit(max_upstream_connections(descriptors))
+        self.upstreams.set_max_connections(max_upstream_connections(descriptors))
 
     # -- the phases of the service
 
--- a/gateway/network/upstream/pool.py
+++ b/gateway/network/upstream/pool.py
@@ -63,9 +63,9 @@
         self._connections = 0  # open or being opened, to all endpoints
         timers.at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
-    def limit(self, connections: int) -> None:
+    def set_max_connections(self, max_connections: int) -> None:
         """Change the limit on the connections to all endpoints."""
-        self.max_connections = connections
+        self.max_connections = max_connections
 
     @property
     def connections(self) -> int:
