--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -175,7 +175,7 @@
         self.role.retire(successor)
         self.gossip_socket.stop_listening()
         self.upstreams.close_idle_connections()
-        self.upstreams.set_max_connections(self.upstreams.connections)
+        self.upstreams.set_max_connections(self.upstreams.connection_count)
         return hot_restart.export_state(self.controller_loop.controller, self.clock.now())
 
     def take_over(
--- a/gateway/network/upstream/endpoint.py
+++ b/gateway/network/upstream/endpoint.py
@@ -36,13 +36,13 @@
     A restarted endpoint is another process, with connections of its own.
     """
 
-    __slots__ = ("connecting", "connections", "entry", "idle", "is_retired")
+    __slots__ = ("connecting", "connection_count", "entry", "idle", "is_retired")
 
     def __init__(self, entry: EndpointEntry) -> None:
         """Begin without a connection."""
         self.entry = entry
         self.idle: list[PooledConnection] = []  # ordered by the time of their last use
-        self.connections = 0  # open or being opened
+        self.connection_count = 0  # open or being opened
         self.connecting: list[UpstreamAttempt] = []  # attempts that wait for a connection
         self.is_retired = False
 
@@ -55,7 +55,7 @@
 
     def has_capacity(self) -> bool:
         """Return whether another connection may be opened."""
-        return self.connections < MAX_CONNECTIONS_PER_ENDPOINT
+        return self.connection_count < MAX_CONNECTIONS_PER_ENDPOINT
 
     def take_idle(self, now_ms: float) -> PooledConnection | None:
         """Remove and return the most recently used idle connection that is reusable.
@@ -81,7 +81,7 @@
 
     def on_connection_closed(self, connection: PooledConnection) -> None:
         """Forget a connection that is closed, or that never opened."""
-        self.connections -= 1
+        self.connection_count -= 1
         if connection in self.idle:
             self.idle.remove(connection)
 
--- a/gateway/network/upstream/pool.py
+++ b/gateway/network/upstream/pool.py
@@ -60,7 +60,7 @@
         self._connect_timeout_ms = connect_timeout_ms
         self.registry = EndpointRegistry()
         self._streaming: set[UpstreamConnection] = set()  # connections that forward a request or a response
-        self._connections = 0  # open or being opened, to all endpoints
+        self._connection_count = 0  # open or being opened, to all endpoints
         timers.at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     def set_max_connections(self, max_connections: int) -> None:
@@ -68,9 +68,9 @@
         self.max_connections = max_connections
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Return the number of connections that are open or being opened."""
-        return self._connections
+        return self._connection_count
 
     def update(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
         """Apply an endpoint list; see `EndpointRegistry.update`."""
@@ -118,13 +118,13 @@
             self._loop.call_soon(attempt.fail, AttemptResult.CONNECT_FAILED)
 
     def _may_connect(self, endpoint: UpstreamEndpoint) -> bool:
-        return endpoint.has_capacity() and self._connections < self.max_connections
+        return endpoint.has_capacity() and self._connection_count < self.max_connections
 
     def _connect(self, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt, now_ms: float) -> None:
         """Open a connection for an attempt."""
         connection = UpstreamConnection(endpoint, self, self.clock, self._metrics, self._load_reports)
-        endpoint.connections += 1
-        self._connections += 1
+        endpoint.connection_count += 1
+        self._connection_count += 1
         endpoint.connecting.append(attempt)
         attempt.connect_timer = self._timers.at(
             now_ms + self._connect_timeout_ms, lambda: attempt.fail(AttemptResult.CONNECT_FAILED)
@@ -165,7 +165,7 @@
 
     def on_connection_closed(self, connection: UpstreamConnection) -> None:
         """Forget a connection that is closed, or that never opened."""
-        self._connections -= 1
+        self._connection_count -= 1
         connection.endpoint.on_connection_closed(connection)
 
     def on_streaming_started(self, connection: UpstreamConnection) -> None:
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -102,7 +102,7 @@
     release.set()
     outcome = await controller.next_event(AttemptEnded)
     assert (outcome.result, outcome.final) == (AttemptResult.NOT_SENT, True)
-    while gateway.upstreams._connections > len(gateway.upstreams.registry.endpoints["w1"].idle):
+    while gateway.upstreams._connection_count > len(gateway.upstreams.registry.endpoints["w1"].idle):
         await asyncio.sleep(0)
     assert endpoint.requests.empty() and not gateway.attempts.in_flight
 
@@ -126,7 +126,7 @@
         release.set()
     assert (await client.next_response()).status == 502
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.NOT_SENT
-    assert gateway.upstreams._connections == 0
+    assert gateway.upstreams._connection_count == 0
     if connects:
         assert (await endpoint.next_request()).is_disconnect  # without a request before
 
--- a/tests/network/upstream/test_endpoint.py
+++ b/tests/network/upstream/test_endpoint.py
@@ -24,7 +24,7 @@
         self.has_input = has_input
         self.idle_since_ms = 0.0
         self.is_closed = False
-        endpoint.connections += 1
+        endpoint.connection_count += 1
 
     def has_unread_input(self):
         return self.has_input
@@ -65,7 +65,7 @@
     assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is newer
     assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is older
     assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is None
-    assert endpoint.connections == 3
+    assert endpoint.connection_count == 3
 
 
 def test_connection_is_not_taken_before_the_reuse_delay(endpoint):
@@ -80,7 +80,7 @@
     assert endpoint.take_idle(1000.0) is clean
     assert all(connection.is_closed for connection in dirty)
     assert endpoint.idle == []
-    assert endpoint.connections == 1
+    assert endpoint.connection_count == 1
 
 
 def test_idle_connections_are_limited(endpoint):
@@ -89,9 +89,9 @@
 
 
 def test_connections_are_limited(endpoint):
-    endpoint.connections = MAX_CONNECTIONS_PER_ENDPOINT - 1
+    endpoint.connection_count = MAX_CONNECTIONS_PER_ENDPOINT - 1
     assert endpoint.has_capacity()
-    endpoint.connections += 1
+    endpoint.connection_count += 1
     assert not endpoint.has_capacity()
 
 
--- a/tests/network/upstream/test_endpoint_updates.py
+++ b/tests/network/upstream/test_endpoint_updates.py
@@ -53,4 +53,4 @@
     release.set()
     assert (await client.next_response()).status == 502
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
-    assert endpoint.requests.empty() and gateway.upstreams._connections == 0
+    assert endpoint.requests.empty() and gateway.upstreams._connection_count == 0
--- a/tests/network/upstream/test_pool.py
+++ b/tests/network/upstream/test_pool.py
@@ -47,7 +47,7 @@
     connect_endpoints_by(gateway, never_connect)
     assert (await client.send(http_request()).next_response()).status == 502
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
-    assert gateway.upstreams._connections == 0
+    assert gateway.upstreams._connection_count == 0
 
 
 async def test_unread_bytes_on_an_idle_connection_are_not_the_next_response(endpoint, gateway, client):
@@ -96,7 +96,7 @@
     writer = await complete_request(endpoint, client)
     writer.close()
     assert (await endpoint.next_request()).is_disconnect
-    while gateway.upstreams._connections:
+    while gateway.upstreams._connection_count:
         await asyncio.sleep(0)
     await complete_request(endpoint, client)
     assert endpoint.connection_count == 2
