--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -36,7 +36,7 @@
         self._attempts = attempts
         self._events = events
 
-    def send(self, action: SendAttempt) -> None:
+    def send_attempt(self, action: SendAttempt) -> None:
         """Start an attempt, unless its request has ended or its client has disconnected."""
         request = self._requests.open.get(action.id)
         if request is None:
@@ -48,7 +48,7 @@
         else:
             self._start(request, action)
 
-    def cancel(self, action: CancelAttempt) -> None:
+    def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancel an attempt, if it is in flight."""
         attempt = self._attempts.get(action.id, action.attempt)
         if attempt is not None:
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -117,7 +117,7 @@
 
     def send_attempt(self, action: SendAttempt) -> None:
         """Start an attempt."""
-        self.attempt_runner.send(action)
+        self.attempt_runner.send_attempt(action)
 
     def reject(self, action: Reject) -> None:
         """Answer 503, with advice when to retry."""
@@ -129,7 +129,7 @@
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancel an attempt."""
-        self.attempt_runner.cancel(action)
+        self.attempt_runner.cancel_attempt(action)
 
     def set_timer(self, action: SetTimer) -> None:
         """Report the timer on the grid of the controller's ticks: timers of one tick share one turn."""
