--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -126,7 +126,7 @@
         request = self._requests.add(client, parsed, received)
         deadline_at_ms = self._requests.deadline_at_ms(request)
         if is_complete:
-            self._requests.start_guard(request, deadline_at_ms)
+            self._requests.start_guard_timer(request, deadline_at_ms)
             self.connections.on_request_complete(client)
         self._events.enqueue(
             RequestArrived(
@@ -147,7 +147,7 @@
     def on_request_completed(self, request: OpenRequest) -> None:
         """Start the timeouts of a request whose large body has been received completely."""
         deadline_at_ms = self._requests.deadline_at_ms(request)
-        self._requests.start_guard(request, deadline_at_ms)
+        self._requests.start_guard_timer(request, deadline_at_ms)
         timeout_ms = deadline_at_ms - DEADLINE_MARGIN_MS - self.clock.now()
         self._attempt_runner.on_request_completed(request, timeout_ms)
         self._events.enqueue(RequestCompleted(request.id, deadline_at_ms - DEADLINE_MARGIN_MS))
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -88,7 +88,7 @@
         now_ms = self._clock.now()
         return min(now_ms + request.wait_ms, max(self._end_ms, now_ms + 2 * DEADLINE_MARGIN_MS))
 
-    def start_guard(self, request: OpenRequest, deadline_at_ms: float) -> None:
+    def start_guard_timer(self, request: OpenRequest, deadline_at_ms: float) -> None:
         """Answer the request shortly before its deadline, whatever the controller does."""
         request.guard = self._timers.at(
             deadline_at_ms - GUARD_MARGIN_MS, lambda: self._on_guard_expired(request)
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -114,7 +114,7 @@
 
 def guarded(site):
     request = site.add()
-    site.table.start_guard(request, site.table.deadline_at_ms(request))
+    site.table.start_guard_timer(request, site.table.deadline_at_ms(request))
     return request
 
 
