--- a/gateway/network/discovery/client.py
+++ b/gateway/network/discovery/client.py
@@ -56,7 +56,7 @@
         """Use another address for the connections opened from now on."""
         self._address = address
 
-    async def call(self, target: str, timeout_s: float) -> EndpointList:
+    async def fetch_list(self, target: str, timeout_s: float) -> EndpointList:
         """Return the list that a call of the target yields.
 
         Raises:
--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -135,10 +135,10 @@
         """Make one call and report its list; return whether it was a watch that ended without a change."""
         index = self._index
         if index is None:
-            endpoint_list = await self._call(PATH, CALL_TIMEOUT_S)
+            endpoint_list = await self._fetch_list(PATH, CALL_TIMEOUT_S)
         else:
             timeout_s = max(CALL_TIMEOUT_S, watch_ms / 1000 + WATCH_GRACE_S)
-            endpoint_list = await self._call(f"{PATH}?since={index}&timeout_ms={watch_ms}", timeout_s)
+            endpoint_list = await self._fetch_list(f"{PATH}?since={index}&timeout_ms={watch_ms}", timeout_s)
         if not endpoint_list.is_snapshot and (index is None or endpoint_list.index < index):
             raise InvalidResponseError("an incremental update instead of a snapshot, or an older version")
         self._report(endpoint_list)
@@ -147,8 +147,8 @@
         self._was_rejected = False
         return index is not None and not endpoint_list.entries
 
-    async def _call(self, target: str, timeout_s: float) -> EndpointList:
-        return await self._client.call(target, timeout_s)
+    async def _fetch_list(self, target: str, timeout_s: float) -> EndpointList:
+        return await self._client.fetch_list(target, timeout_s)
 
     def _report(self, endpoint_list: EndpointList) -> None:
         if endpoint_list.entries or endpoint_list.is_snapshot:
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -124,7 +124,7 @@
         return result
 
     watch = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
-    watch._call = call
+    watch._fetch_list = call
     with monkeypatch.context() as patch:
         patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
         await asyncio.gather(watch._watch(), return_exceptions=True)
--- a/tests/network/discovery/test_watch.py
+++ b/tests/network/discovery/test_watch.py
@@ -151,7 +151,7 @@
 async def test_refusing_discovery_is_survived(port, received_lists, start_watch):
     watch = start_watch(port)
     failed = asyncio.Event()
-    call = watch._call
+    call = watch._fetch_list
 
     async def observed_call(*args):
         try:
@@ -159,7 +159,7 @@
         finally:
             failed.set()
 
-    watch._call = observed_call
+    watch._fetch_list = observed_call
     await failed.wait()
     async with FakeDiscovery(port) as discovery_service:
         _, writer = await discovery_service.next_call()
--- a/tests/support/simulated_watch.py
+++ b/tests/support/simulated_watch.py
@@ -55,7 +55,7 @@
     async def run(self, monkeypatch, **options):
         """Run the watch to its end."""
         watch = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
-        watch._call = self.call
+        watch._fetch_list = self.call
         with monkeypatch.context() as patch:
             patch.setattr("gateway.network.discovery.watch.asyncio.sleep", self.sleep)
             patch.setattr("gateway.network.discovery.watch.asyncio.get_running_loop", lambda: self)
