--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -59,7 +59,7 @@
         now_ms = self._clock.now()
         for attempt in self._attempts.of_request(request):
             attempt.started_ms = now_ms
-            self._upstreams.set_timeout(attempt, timeout_ms)
+            self._upstreams.start_timeout(attempt, timeout_ms)
 
     def _start(self, request: OpenRequest, action: SendAttempt) -> None:
         upload = request.upload
@@ -75,7 +75,7 @@
         )
         request.attempts += 1
         self._attempts.add(attempt)
-        self._upstreams.start(attempt, action.timeout_ms)
+        self._upstreams.start_attempt(attempt, action.timeout_ms)
 
     def _report_not_sent(self, action: SendAttempt, number: int) -> None:
         self._events.enqueue(
--- a/gateway/network/attempt_table.py
+++ b/gateway/network/attempt_table.py
@@ -37,7 +37,7 @@
         """
         for attempt in self.of_request(request):
             if attempt.number != request.streaming_attempt:
-                attempt.expire()
+                attempt.expire_if_unsent()
 
     def cancel_streaming(self, request: OpenRequest) -> None:
         """Cancel the attempt whose response is being forwarded."""
--- a/gateway/network/upstream/__init__.py
+++ b/gateway/network/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints: the connections to them, and the attempts on these connections."""
+"""The gateway's connections to endpoints, and the attempts sent on them."""
--- a/gateway/network/upstream/attempt.py
+++ b/gateway/network/upstream/attempt.py
@@ -15,12 +15,12 @@
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """How an attempt ended, with the response where one was received."""
+    """The result of an attempt, with the response if one was received."""
 
     result: AttemptResult
-    body: bytes = b""  # empty where the body was forwarded while it was received
-    content_type: bytes = b""  # the response's Content-Type; empty where it has none
-    load: tuple[float, ...] = ()  # the load report's values; empty where it has none
+    body: bytes = b""  # empty if the body was forwarded while it was received
+    content_type: bytes = b""  # the value of Content-Type; empty if the response has none
+    load: tuple[float, ...] = ()  # the values of the load report; empty if it is missing or invalid
 
 
 class AttemptObserver(Protocol):
@@ -29,28 +29,29 @@
     def on_response_started(
         self, attempt: UpstreamAttempt, source: ResponseSource, length: int | None, content_type: bytes
     ) -> ResponseSink | None:
-        """Return where to forward a response that is too large to be buffered; None if it is not wanted.
+        """Return the client that receives a response too large to be buffered; None rejects the response.
 
-        The length is None where the response does not state one.
+        `length` is the length of the body in bytes, or None if the response does not state it. The attempt
+        fails if its response is rejected.
         """
 
     def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
-        """Process the outcome; called exactly once for each attempt."""
+        """Process the outcome of an attempt; called exactly once for each attempt."""
 
 
-class AttemptCarrier(Protocol):
-    """The interface of the connection that carries an attempt."""
+class AttemptConnection(Protocol):
+    """The interface of the endpoint connection on which an attempt is sent."""
 
     @property
     def is_request_unsent(self) -> bool:
-        """Return whether the request's last byte has not been handed to the operating system."""
+        """Whether the operating system has not yet accepted the last byte of the request."""
 
     def discard(self) -> None:
-        """Close the connection at once."""
+        """Close the connection without waiting for buffered data."""
 
 
 class Cancellable(Protocol):
-    """A pending operation of the event loop."""
+    """An operation of the event loop that can be cancelled."""
 
     def cancel(self) -> object:
         """Cancel the operation."""
@@ -59,7 +60,7 @@
 class UpstreamAttempt:
     """The transmission of one request to one endpoint.
 
-    An attempt ends exactly once, with one outcome, which its observer receives.
+    An attempt ends exactly once; its observer receives the outcome.
     """
 
     __slots__ = (
@@ -90,20 +91,24 @@
         observer: AttemptObserver,
         send_by_ms: float = math.inf,
     ) -> None:
-        """Prepare an attempt; `UpstreamPool.start` sends it.
+        """Create an attempt that `UpstreamPool.start_attempt` sends.
 
-        The message is the request as far as it has been received; `upload` holds the rest of a large body.
+        `number` counts the attempts of a request from 0. `message` is the complete request or, if `upload`
+        forwards the body, the head of the request. `send_by_ms` is the clock time before which the last byte
+        has to be sent.
         """
         self.request_id = request_id
         self.number = number
         self.endpoint_id = endpoint_id
         self.message = message
         self.upload = upload
-        self.send_by_ms = send_by_ms  # the clock's time by which the last byte has to be sent
-        self.started_ms = 0.0  # the clock's time at which latency begins to count
-        self.response_started_ms = 0.0  # the clock's time at which forwarding began; 0 without forwarding
+        self.send_by_ms = send_by_ms
+        # Clock time from which the latency is measured: the start of the attempt or, if its request was still
+        # being received then, the receipt of the request's last byte.
+        self.started_ms = 0.0
+        self.response_started_ms = 0.0  # clock time at which forwarding began; 0 if nothing is forwarded
         self.is_ended = False
-        self.connection: AttemptCarrier | None = None
+        self.connection: AttemptConnection | None = None
         self.connect_task: Cancellable | None = None
         self.connect_timer: Timer | None = None
         self.send_by_timer: Timer | None = None
@@ -111,40 +116,53 @@
         self._observer = observer
 
     def may_send(self, now_ms: float) -> bool:
-        """Return whether the request's first byte may be sent now."""
+        """Return whether sending may begin now.
+
+        It may not after the send deadline, after the client has disconnected during its upload, or if another
+        attempt has already consumed the upload.
+        """
         return now_ms < self.send_by_ms and (self.upload is None or self.upload.may_send())
 
-    def expire(self) -> None:
-        """End the attempt unless its last byte has been sent, because it may no longer be sent."""
+    def expire_if_unsent(self) -> None:
+        """Fail the attempt with NOT_SENT unless the last byte of its request has been sent."""
         if self.connection is None or self.connection.is_request_unsent:
             self.fail(AttemptResult.NOT_SENT)
 
     def start_forwarding(
         self, source: ResponseSource, length: int | None, content_type: bytes
     ) -> ResponseSink | None:
-        """Return where to forward a response that is too large to be buffered; None if it is not wanted."""
+        """Return the client that receives a response too large to be buffered; None rejects the response."""
         return self._observer.on_response_started(self, source, length, content_type)
 
     def on_forwarding_started(self, now_ms: float) -> None:
-        """Record the response's start, and replace the attempt's timeout by the detection of a stall."""
+        """Record the start of the response and cancel the timeout of the attempt.
+
+        From now on the connection's stall detection limits the response.
+        """
         self.response_started_ms = now_ms
         if self.timeout_timer is not None:
             self.timeout_timer.cancel()
 
     def latency_ms(self, now_ms: float) -> float:
-        """Return the time from the start to the response, which is a forwarded response's first byte."""
+        """Return the latency of the attempt in milliseconds.
+
+        It ends when forwarding of the response begins, or now if the response is not forwarded.
+        """
         return (self.response_started_ms or now_ms) - self.started_ms
 
     def cancel(self) -> None:
-        """End the attempt because its response is no longer wanted."""
+        """End the attempt with CANCELLED because its response is no longer needed."""
         self.fail(AttemptResult.CANCELLED)
 
     def fail(self, result: AttemptResult) -> None:
-        """End the attempt without a response."""
+        """End the attempt with a result other than a response."""
         self.end(AttemptOutcome(result))
 
     def end(self, outcome: AttemptOutcome) -> None:
-        """Report the outcome exactly once, after cancelling the timers and releasing the connection."""
+        """Cancel the timers, close the connection in use and report the outcome.
+
+        Calls after the first one have no effect.
+        """
         if self.is_ended:
             return
         self.is_ended = True
@@ -154,6 +172,6 @@
         if self.connect_task is not None:
             self.connect_task.cancel()
         if self.connection is not None:
-            # The response is incomplete, so closing its connection is what cancels it at the endpoint.
+            # The response is incomplete. HTTP/1.1 can only cancel it by closing the connection.
             self.connection.discard()
         self._observer.on_attempt_ended(self, outcome)
--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: its transport, the request being written and the response being read."""
+"""A connection to an endpoint: its transport, the request being written and the response being read."""
 
 from __future__ import annotations
 
@@ -16,46 +16,47 @@
 from gateway.network.upstream.load_report import LoadReportParser
 from gateway.network.upstream.request_writer import RequestWriter
 
-STALL_TIMEOUT_MS = 10_000.0  # a response that is forwarded has to progress within this time
-UPLOAD_STALL_TIMEOUT_MS = 5000.0  # a blocked endpoint has to take bytes of the request within this time
-# Bytes above which the transport reports a full buffer. A smaller request fits the empty buffer of any
-# socket, so it counts as sent once it is written.
-WRITE_BUFFER_BYTES = 8 * 1024
+RESPONSE_STALL_TIMEOUT_MS = 10_000.0  # milliseconds without progress that abort a forwarded response
+# Milliseconds after which a request is aborted if the write buffer is full and the endpoint reads nothing.
+UPLOAD_STALL_TIMEOUT_MS = 5000.0
+# Size in bytes above which the transport reports that its write buffer is full. A request of at most this
+# size fits the empty send buffer of any socket, so it counts as sent as soon as it is written.
+WRITE_BUFFER_HIGH_WATER_BYTES = 8 * 1024
 
 
 class ConnectionOwner(Protocol):
-    """The interface of the pool as its connections use it."""
+    """The interface of the pool that its connections call."""
 
     def on_streaming_started(self, connection: UpstreamConnection) -> None:
-        """Begin to watch a connection that forwards a request or a response for stalls."""
+        """Start stall detection for a connection that forwards a request body or a response."""
 
     def on_streaming_ended(self, connection: UpstreamConnection) -> None:
-        """Stop watching the connection for stalls."""
+        """Stop stall detection for a connection; has no effect if it was not started."""
 
     def on_connection_reusable(self, connection: UpstreamConnection) -> None:
-        """Keep or close a connection whose exchange is complete."""
+        """Keep a connection whose exchange is complete for reuse, or close it."""
 
     def on_connection_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection; called exactly once for each."""
+        """Remove a closed connection; called exactly once for each connection."""
 
 
 class UnconnectedTransport(asyncio.Transport):
-    """Stands for the transport until the connection is established."""
+    """A placeholder for the transport until the connection is established."""
 
     def is_closing(self) -> bool:
-        """Return True, as nothing can be read or written."""
+        """Return True: there is no connection to read from or write to."""
         return True
 
     def abort(self) -> None:
-        """Do nothing, as there is nothing to close."""
+        """Do nothing: there is no connection to close."""
 
     def get_write_buffer_size(self) -> int:
-        """Return 0, as nothing is buffered."""
+        """Return 0: nothing can have been written."""
         return 0
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to an endpoint; it carries one attempt at a time."""
+    """A connection to an endpoint that sends one attempt at a time."""
 
     def __init__(
         self,
@@ -65,7 +66,7 @@
         metrics: Metrics,
         load_reports: LoadReportParser,
     ) -> None:
-        """Prepare a connection to the endpoint; the event loop establishes it."""
+        """Create the protocol object; the event loop connects it and calls `connection_made`."""
         self.endpoint = endpoint
         self.transport: asyncio.Transport = UnconnectedTransport()
         self.writer = RequestWriter(self.transport, metrics)
@@ -76,34 +77,34 @@
         self._metrics = metrics
         self._load_reports = load_reports
         self._exchange: Exchange | None = None
-        self._last_progress_ms = 0.0  # clock time of a forwarded body's last progress
-        self._buffered_bytes = 0  # size of the receiver's write buffer at the last check for a stall
+        self._last_progress_ms = 0.0  # clock time at which a body was last transferred, for stall detection
+        self._buffered_bytes = 0  # size of the receiver's write buffer at the last stall check
 
     # -- callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the established transport."""
+        """Use the transport of the established connection."""
         self.transport = cast("asyncio.Transport", transport)
-        self.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES, low=0)
+        self.transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH_WATER_BYTES, low=0)
         self.writer = RequestWriter(self.transport, self._metrics)
 
     def pause_writing(self) -> None:
-        """Record that the request does not fit the transport's buffer, and pause its client.
+        """Record that the write buffer is full, and stop reading the request body from the client.
 
-        Should the connection break now, the endpoint has not received the complete request.
+        If the connection fails in this state, the endpoint has not received the complete request.
         """
         self._last_progress_ms = self._clock.now()
         self.writer.on_buffer_full()
         self._notify_upload(blocked=True)
 
     def resume_writing(self) -> None:
-        """Record that the transport's buffer is empty, and resume the client."""
+        """Record that the write buffer is empty, and resume reading the request body from the client."""
         self._last_progress_ms = self._clock.now()
         self.writer.on_buffer_empty()
         self._notify_upload(blocked=False)
 
     def data_received(self, data: bytes) -> None:
-        """Read the response; bytes that belong to no request close the connection."""
+        """Process bytes of the response; close the connection if no response is expected."""
         exchange = self._exchange
         if exchange is None or self.is_closed:
             self.discard()
@@ -111,39 +112,39 @@
         self._last_progress_ms = self._clock.now()
         state = exchange.receive(data)
         if state is ExchangeState.COMPLETE:
-            self._complete(exchange)
+            self._complete_exchange(exchange)
         elif state is ExchangeState.FAILED:
-            self._fail(AttemptResult.ERROR)
+            self._fail_exchange(AttemptResult.ERROR)
         elif exchange.sink is not None:
             self._owner.on_streaming_started(self)
 
     def eof_received(self) -> None:
-        """Complete a response that ends with its connection."""
+        """Complete a response whose end is marked by the close of the connection."""
         exchange = self._exchange
-        if exchange is None or self.is_closed or not exchange.ends_with_connection or self._is_reset():
+        if exchange is None or self.is_closed or not exchange.is_close_delimited or self._is_reset_pending():
             return
         exchange.receive_eof()
-        self._complete(exchange)
+        self._complete_exchange(exchange)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Fail the attempt, if any, according to how much of the request was sent."""
-        result = self._result_of_break()
-        self._close()
+        """Fail the attempt in progress, if any: RESET if its request was sent, otherwise CONNECT_FAILED."""
+        result = self._disconnect_result()
+        self._mark_closed()
         if self._exchange is not None:
-            self._fail(result)
+            self._fail_exchange(result)
 
     # -- attempts
 
     @property
     def is_request_unsent(self) -> bool:
-        """Return whether the request's last byte has not been handed to the operating system."""
+        """Whether the operating system has not yet accepted the last byte of the request."""
         return self.writer.is_unsent
 
     def send_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Write the attempt's request, as far as it has been received."""
+        """Write the request of an attempt; the upload of a large body writes the remaining parts later."""
         self._exchange = Exchange(attempt, self)
         attempt.connection = self
-        self.writer.start()
+        self.writer.start_request()
         if attempt.upload is None:
             self.writer.write_last(attempt.message)
             return
@@ -152,7 +153,7 @@
         attempt.upload.attach(self.writer, attempt.message)
 
     def set_response_paused(self, paused: bool) -> None:
-        """Stop or resume reading the response, because its client is slow."""
+        """Stop reading the response while the write buffer to its client is full, or resume it."""
         self._last_progress_ms = self._clock.now()
         if self.transport.is_closing():
             return
@@ -162,22 +163,23 @@
             self.transport.resume_reading()
 
     def abort_attempt(self) -> None:
-        """Fail the attempt in progress and close the connection."""
-        self._fail(self._result_of_break())
+        """Close the connection and fail the attempt in progress as if the connection had been lost."""
+        self._fail_exchange(self._disconnect_result())
 
     def discard(self) -> None:
-        """Close the connection at once; bytes that are still to come are lost."""
-        self._end_exchange()
-        self._close()
+        """Close the connection without waiting for buffered data; the attempt in progress is not notified."""
+        self._detach_exchange()
+        self._mark_closed()
         self.transport.abort()
 
-    def _complete(self, exchange: Exchange) -> None:
-        """Report a complete response, and keep the connection if it is reusable.
+    def _complete_exchange(self, exchange: Exchange) -> None:
+        """Release or close the connection, then end the attempt with its complete response.
 
-        A response may arrive before the request is sent completely; its connection is not reusable.
+        An endpoint may respond before it has received the complete request. Such a connection is closed
+        because the next request would follow an incomplete one.
         """
         exchange.attempt.connection = None
-        self._end_exchange()
+        self._detach_exchange()
         outcome = exchange.outcome(self._load_reports)
         if exchange.is_reusable and not self.writer.is_unsent:
             self._owner.on_connection_reusable(self)
@@ -185,21 +187,21 @@
             self.discard()
         exchange.attempt.end(outcome)
 
-    def _fail(self, result: AttemptResult) -> None:
-        """Close the connection, then report the result of its attempt, if any."""
+    def _fail_exchange(self, result: AttemptResult) -> None:
+        """Close the connection, then fail the attempt in progress, if any, with this result."""
         exchange = self._exchange
         self.discard()
         if exchange is not None:
             exchange.attempt.connection = None
             exchange.attempt.fail(result)
 
-    def _end_exchange(self) -> None:
+    def _detach_exchange(self) -> None:
         if self._exchange is not None:
             self._exchange.close()
             self._exchange = None
             self._owner.on_streaming_ended(self)
 
-    def _close(self) -> None:
+    def _mark_closed(self) -> None:
         if not self.is_closed:
             self.is_closed = True
             self._owner.on_streaming_ended(self)
@@ -209,26 +211,28 @@
         if self._exchange is not None and self._exchange.attempt.upload is not None:
             self._exchange.attempt.upload.on_endpoint_blocked(blocked=blocked)
 
-    def _result_of_break(self) -> AttemptResult:
-        """Return the result of an attempt whose connection ends now."""
+    def _disconnect_result(self) -> AttemptResult:
+        """Return the result of the attempt in progress if the connection ends now."""
         return AttemptResult.CONNECT_FAILED if self.writer.is_unsent else AttemptResult.RESET
 
     # -- checks
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes or the connection's end wait in the socket.
+        """Return whether the socket has unread bytes or has been closed by the endpoint.
 
-        The event loop may not have read them yet. After the next request is written they would be taken for
-        its response, or for a reset of it.
+        The event loop may not have reported the input yet. If a request were written now, the bytes would be
+        mistaken for its response, and the close for a reset of that request.
         """
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
     def is_stalled(self, now_ms: float) -> bool:
-        """Return whether an upload to the endpoint, or a response to its client, makes no progress.
+        """Return whether the request being sent or the response being forwarded has stalled.
 
-        A slow receiver makes progress as long as the write buffer towards it changes its size.
+        Progress means that bytes have arrived, that reading or writing was paused or resumed, or that the
+        size of the write buffer to the receiver has changed since the last call. The receiver is the client
+        if a response is being forwarded, otherwise the endpoint.
         """
         sink = None if self._exchange is None else self._exchange.sink
         receiver = self.transport if sink is None else sink.transport
@@ -236,16 +240,16 @@
         if buffered_bytes != self._buffered_bytes:
             self._buffered_bytes = buffered_bytes
             self._last_progress_ms = now_ms
-        without_progress_ms = now_ms - self._last_progress_ms
+        stalled_ms = now_ms - self._last_progress_ms
         if sink is None:
-            return self.writer.blocked and without_progress_ms > UPLOAD_STALL_TIMEOUT_MS
-        return without_progress_ms > STALL_TIMEOUT_MS
+            return self.writer.blocked and stalled_ms > UPLOAD_STALL_TIMEOUT_MS
+        return stalled_ms > RESPONSE_STALL_TIMEOUT_MS
 
-    def _is_reset(self) -> bool:
-        """Return whether the end that was reported is a reset.
+    def _is_reset_pending(self) -> bool:
+        """Return whether the end of input that the event loop has reported was a reset by the endpoint.
 
-        Where a reset closely follows the last bytes, the event loop reads these, finds no more and reports an
-        end. The error remains pending for the next read of the socket.
+        If a reset follows the last bytes immediately, the event loop reads the bytes, finds no more and
+        reports a regular end of input. The error stays pending until the next read from the socket.
         """
         try:
             return os.read(self.transport.get_extra_info("socket").fileno(), 1) != b""
--- a/gateway/network/upstream/endpoint.py
+++ b/gateway/network/upstream/endpoint.py
@@ -1,4 +1,4 @@
-"""One process of an endpoint, as discovery lists it, and the gateway's connections to it."""
+"""A process of an endpoint, as listed by discovery, and the connections to it."""
 
 from __future__ import annotations
 
@@ -8,46 +8,46 @@
 from gateway.interface.events import AttemptResult
 from gateway.network.upstream.attempt import UpstreamAttempt
 
-MAX_CONNECTIONS_PER_ENDPOINT = 128  # connections to one endpoint, in use or idle
-MAX_IDLE_PER_ENDPOINT = 24  # idle connections that are kept to one endpoint
-# Milliseconds for which a connection stays unused after a response. A duplicate of the response that arrives
-# within this time is detected, and not taken for the response to the next request.
+MAX_CONNECTIONS_PER_ENDPOINT = 128  # maximum number of connections to one endpoint, in use or idle
+MAX_IDLE_CONNECTIONS_PER_ENDPOINT = 24  # maximum number of idle connections kept for reuse per endpoint
+# Milliseconds for which a connection is not reused after a response. A duplicate of the response that arrives
+# within this time closes the connection instead of being mistaken for the response to the next request.
 REUSE_DELAY_MS = 10.0
 
 
 class PooledConnection(Protocol):
-    """The interface of a connection as its endpoint uses it."""
+    """The interface of a connection that its endpoint calls."""
 
     idle_since_ms: float
 
     def has_unread_input(self) -> bool:
-        """Return whether bytes or the connection's end wait to be read."""
+        """Return whether the socket has unread bytes or has been closed by the endpoint."""
 
     def send_attempt(self, attempt: UpstreamAttempt) -> None:
         """Send the request of an attempt."""
 
     def discard(self) -> None:
-        """Close the connection at once."""
+        """Close the connection without waiting for buffered data."""
 
 
 class UpstreamEndpoint:
-    """One process of an endpoint, with the gateway's connections to it.
+    """A process of an endpoint and the connections to it.
 
-    A restarted endpoint is another process, with connections of its own.
+    A restart of an endpoint is represented by a new object, which shares no connection with the previous one.
     """
 
-    __slots__ = ("connecting", "connection_count", "entry", "idle", "is_retired")
+    __slots__ = ("connection_count", "entry", "idle", "is_retired", "waiting_attempts")
 
     def __init__(self, entry: EndpointEntry) -> None:
-        """Begin without a connection."""
+        """Create the endpoint without connections."""
         self.entry = entry
-        self.idle: list[PooledConnection] = []  # ordered by the time of their last use
-        self.connection_count = 0  # open or being opened
-        self.connecting: list[UpstreamAttempt] = []  # attempts that wait for a connection
+        self.idle: list[PooledConnection] = []  # least recently used first
+        self.connection_count = 0  # connections that are open or being opened
+        self.waiting_attempts: list[UpstreamAttempt] = []  # attempts that wait for a connection
         self.is_retired = False
 
     def is_same_process(self, entry: EndpointEntry) -> bool:
-        """Return whether an entry lists the same address and start time."""
+        """Return whether an entry of the endpoint list has the address and start time of this process."""
         return (
             self.entry.address == entry.address
             and self.entry.endpoint.started_ms == entry.endpoint.started_ms
@@ -57,30 +57,35 @@
         """Return whether another connection may be opened."""
         return self.connection_count < MAX_CONNECTIONS_PER_ENDPOINT
 
-    def take_idle(self, now_ms: float) -> PooledConnection | None:
-        """Remove and return the most recently used idle connection that is reusable.
+    def take_idle_connection(self, now_ms: float) -> PooledConnection | None:
+        """Remove and return the most recently used idle connection that can be reused; None if there is none.
 
-        A connection rests for REUSE_DELAY_MS first. One with unread input is closed: its input would be taken
-        for the response to the next request, or its end for a reset of that request.
+        A connection can be reused once it has been idle for REUSE_DELAY_MS. A connection with unread input is
+        closed: the input would be mistaken for the response to the next request, or the endpoint's close for
+        a reset of that request.
         """
-        rested = [one for one in reversed(self.idle) if now_ms - one.idle_since_ms >= REUSE_DELAY_MS]
-        for connection in rested:
+        reusable = [
+            connection
+            for connection in reversed(self.idle)
+            if now_ms - connection.idle_since_ms >= REUSE_DELAY_MS
+        ]
+        for connection in reusable:
             if not connection.has_unread_input():
                 self.idle.remove(connection)
                 return connection
             connection.discard()
         return None
 
-    def keep_idle(self, connection: PooledConnection, now_ms: float) -> bool:
-        """Keep a connection for reuse; return False if it is not needed."""
-        if self.is_retired or len(self.idle) >= MAX_IDLE_PER_ENDPOINT:
+    def keep_idle_connection(self, connection: PooledConnection, now_ms: float) -> bool:
+        """Keep a connection for reuse; return False if the caller has to close it instead."""
+        if self.is_retired or len(self.idle) >= MAX_IDLE_CONNECTIONS_PER_ENDPOINT:
             return False
         connection.idle_since_ms = now_ms
         self.idle.append(connection)
         return True
 
     def on_connection_closed(self, connection: PooledConnection) -> None:
-        """Forget a connection that is closed, or that never opened."""
+        """Remove a connection that has been closed or could not be opened."""
         self.connection_count -= 1
         if connection in self.idle:
             self.idle.remove(connection)
@@ -91,13 +96,16 @@
             connection.discard()
 
     def close_idle_before(self, time_ms: float) -> None:
-        """Close the connections that have been idle since before that time."""
+        """Close the connections that became idle before this clock time."""
         while self.idle and self.idle[0].idle_since_ms < time_ms:
             self.idle[0].discard()
 
     def retire(self) -> None:
-        """Send nothing more to the endpoint; attempts that were written may still be answered."""
+        """Close the idle connections and fail the attempts that wait for a connection.
+
+        Attempts that have been written may still receive their responses.
+        """
         self.is_retired = True
         self.close_idle()
-        for attempt in list(self.connecting):
+        for attempt in list(self.waiting_attempts):
             attempt.fail(AttemptResult.CONNECT_FAILED)
--- a/gateway/network/upstream/endpoint_registry.py
+++ b/gateway/network/upstream/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints that attempts can be sent to, kept in line with discovery's list."""
+"""The endpoints that attempts can be sent to, updated from discovery's endpoint list."""
 
 from __future__ import annotations
 
@@ -8,23 +8,25 @@
 
 
 class EndpointRegistry:
-    """The processes of the ready endpoints."""
+    """The current process of each ready endpoint."""
 
     def __init__(self) -> None:
-        """Begin without endpoints."""
-        self.endpoints: dict[str, UpstreamEndpoint] = {}  # by the endpoint's id
+        """Create an empty registry."""
+        self.endpoints: dict[str, UpstreamEndpoint] = {}  # by endpoint id
 
     def update(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
         """Apply a snapshot or an incremental update of the endpoint list.
 
-        An endpoint that left service or restarted loses its idle connections and its attempts that wait for a
-        connection. Returns the endpoints that are retired without being listed as such, because another one
-        now has their address and would receive their attempts.
+        An endpoint that is no longer ready or has restarted is retired: its idle connections are closed, and
+        its attempts that wait for a connection fail.
+
+        Returns the displaced endpoints: the list does not withdraw them, but another ready endpoint now has
+        their address and would receive their attempts, so they are retired as well.
         """
         if endpoint_list.is_snapshot:
             self._retire_unlisted(endpoint_list)
         for entry in endpoint_list.entries:
-            self._apply(entry)
+            self._apply_entry(entry)
         return self._retire_displaced(endpoint_list)
 
     def _retire_unlisted(self, snapshot: EndpointList) -> None:
@@ -32,7 +34,7 @@
         for endpoint_id in [endpoint_id for endpoint_id in self.endpoints if endpoint_id not in listed]:
             self._retire(endpoint_id)
 
-    def _apply(self, entry: EndpointEntry) -> None:
+    def _apply_entry(self, entry: EndpointEntry) -> None:
         endpoint_id = entry.endpoint.id
         is_ready = entry.endpoint.state is EndpointState.READY
         registered = self.endpoints.get(endpoint_id)
@@ -45,7 +47,11 @@
             self.endpoints[endpoint_id] = UpstreamEndpoint(entry)
 
     def _retire_displaced(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
-        """Retire the endpoints whose address belongs to another one that started no earlier."""
+        """Retire the endpoints displaced from their address, and return their entries.
+
+        An endpoint is displaced by a ready endpoint with the same address that started at the same time or
+        later.
+        """
         successors = {
             entry.address: entry.endpoint
             for entry in endpoint_list.entries
--- a/gateway/network/upstream/exchange.py
+++ b/gateway/network/upstream/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt on a connection: its response is buffered, or forwarded where it is large."""
+"""An attempt on a connection: a small response is buffered, a large one is forwarded to the client."""
 
 from __future__ import annotations
 
@@ -19,34 +19,38 @@
 )
 from gateway.network.upstream.response_sink import ResponseSink
 
-# Largest body that is buffered until it is complete, where its length is known. Until forwarding starts the
-# request can be retried.
+# Response bodies of at most this many bytes are buffered until they are complete, if their length is known.
+# Buffering keeps retries possible: a request cannot be retried once its response is being forwarded.
 MAX_BUFFERED_BYTES = 64 * 1024
-MAX_BUFFERED_UNSIZED_BYTES = 16 * 1024  # buffered bytes of a body of unknown length before it is forwarded
-STATUS_OK = 200
-REJECTION_STATUSES = frozenset((503, 504))  # status codes that can state that the request was not executed
+# Number of bytes of a response body of unknown length that are buffered before the body is forwarded.
+MAX_BUFFERED_UNSIZED_BYTES = 16 * 1024
+STATUS_OK = 200  # the only status code of a successful response
+# Status codes of responses whose X-Not-Run field is evaluated: the endpoint may have rejected the request
+# without executing it.
+REJECTION_STATUSES = frozenset((503, 504))
 
 _NO_HEAD = ResponseHead(status=0, length=None)
 
 
 class ExchangeState(Enum):
-    """How far a response has been received."""
+    """The progress of receiving a response."""
 
     RECEIVING = auto()
     COMPLETE = auto()
-    FAILED = auto()  # the response is malformed, or no longer wanted
+    FAILED = auto()  # the response is malformed, or its client no longer needs it
 
 
-# The states as constants of the module: access to the members of an enum is slow in Python 3.11.
+# Module constants because attribute access on an enum class is slow in Python 3.11.
 _RECEIVING = ExchangeState.RECEIVING
 _COMPLETE = ExchangeState.COMPLETE
 _FAILED = ExchangeState.FAILED
 
 
 class Exchange:
-    """An attempt, and its response as far as it has been received.
+    """An attempt and the part of its response that has been received.
 
-    A body is buffered, and forwarded from the point on where it exceeds the buffer's limit.
+    The body of a successful response is forwarded as soon as its stated length or its received size exceeds
+    the limit for buffering. All other bodies are buffered.
     """
 
     __slots__ = (
@@ -62,11 +66,14 @@
     )
 
     def __init__(self, attempt: UpstreamAttempt, source: ResponseSource) -> None:
-        """Expect the response to the attempt; the source's reading is paused while the client is slow."""
+        """Expect the response to an attempt.
+
+        `source` is the endpoint's connection. Reading from it is paused while the client is slow.
+        """
         self.attempt = attempt
-        self.sink: ResponseSink | None = None  # receives the body once it is forwarded
+        self.sink: ResponseSink | None = None  # the client, once forwarding has started
         self.state = _RECEIVING
-        self.is_reusable = False  # the endpoint accepts another request on the connection
+        self.is_reusable = False  # whether the connection accepts another request
         self._source = source
         self._reader = ResponseReader()
         self._head = _NO_HEAD
@@ -74,7 +81,7 @@
         self._body_size = 0
 
     def receive(self, data: bytes) -> ExchangeState:
-        """Process received bytes and return the new state."""
+        """Process received bytes and return the resulting state."""
         for event in self._reader.feed(data):
             self._process(event)
             if self.state is _FAILED:
@@ -82,18 +89,18 @@
         return self.state
 
     @property
-    def ends_with_connection(self) -> bool:
-        """Return whether the end of the connection completes the response."""
+    def is_close_delimited(self) -> bool:
+        """Whether the close of the connection marks the end of the response."""
         return self._reader.state is ReaderState.BODY_UNTIL_EOF
 
     def receive_eof(self) -> None:
-        """Process the end of the connection where it completes the response."""
+        """Complete a close-delimited response; has no effect on any other response."""
         end = self._reader.feed_eof()
         if end is not None:
             self._process(end)
 
     def outcome(self, load_reports: LoadReportParser) -> AttemptOutcome:
-        """Return the attempt's outcome once the response is complete."""
+        """Return the outcome of the attempt; the response has to be complete."""
         head = self._head
         load = load_reports.parse(head.load_report)
         if head.status == STATUS_OK:
@@ -105,7 +112,10 @@
         return AttemptOutcome(AttemptResult.ERROR, load=load)
 
     def close(self) -> None:
-        """Release the reader, which otherwise keeps itself alive until the garbage collector runs."""
+        """Break the reference cycle of the response reader and its parser.
+
+        Otherwise both would stay in memory until the garbage collector runs.
+        """
         self._reader.close()
 
     def _process(self, event: ResponseEvent) -> None:
--- a/gateway/network/upstream/load_report.py
+++ b/gateway/network/upstream/load_report.py
@@ -1,21 +1,25 @@
-"""Parsing of the load report that an endpoint attaches to a response."""
+"""Parsing of load reports, which endpoints send in the X-Load field of their responses."""
 
 from __future__ import annotations
 
 import json
 
-MAX_REPORTED_LOAD = 1e6  # largest accepted value of a field, in the field's unit
+MAX_REPORTED_LOAD = 1e6  # a load report with a greater value, in the unit of its field, is ignored
 
 
 class LoadReportParser:
-    """Extracts the configured fields from load reports."""
+    """A parser that extracts the configured fields from load reports."""
 
     def __init__(self, fields: tuple[str, ...]) -> None:
-        """Expect these fields in each report; without fields every report is ignored."""
+        """Create a parser for these fields; if there are none, every load report is ignored."""
         self._fields = fields
 
     def parse(self, text: bytes) -> tuple[float, ...]:
-        """Return the fields' values in the configured order, or () if one is missing or out of range."""
+        """Return the values in the order of the configured fields.
+
+        The result is () if the report is not a JSON object, or if the value of a configured field is missing,
+        does not convert to a number or is out of range.
+        """
         if not text or not self._fields:
             return ()
         try:
@@ -23,5 +27,5 @@
             values = tuple(float(report[field]) for field in self._fields)
         except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
             return ()
-        # NaN is in no range.
+        # The comparison also rejects NaN.
         return values if all(0 <= value <= MAX_REPORTED_LOAD for value in values) else ()
--- a/gateway/network/upstream/pool.py
+++ b/gateway/network/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The choice of a connection for each attempt, and the limits on connections."""
+"""The pool of connections to endpoints, which assigns a connection to each attempt."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from gateway.network.upstream.endpoint_registry import EndpointRegistry
 from gateway.network.upstream.load_report import LoadReportParser
 
-# Fraction of an endpoint's idle timeout after which the gateway closes an idle connection itself, so that the
-# endpoint's close never crosses a request.
+# Fraction of the endpoints' idle timeout after which the gateway closes an idle connection. It closes the
+# connection first because a request sent while the endpoint closes it would be lost.
 IDLE_TIMEOUT_FRACTION = 0.6
-SWEEP_INTERVAL_MS = 1000.0  # milliseconds between two searches for stalled and idle connections
+SWEEP_INTERVAL_MS = 1000.0  # milliseconds between two checks for stalled and idle connections
 
 log = logging.getLogger(__name__)
 
@@ -28,9 +28,9 @@
 
 
 class UpstreamPool:
-    """Sends attempts to the listed endpoints on pooled connections.
+    """A pool of connections that sends attempts to the endpoints of the endpoint list.
 
-    No attempt is sent twice; a retry is another attempt.
+    The pool never sends an attempt again: a retry is a new attempt, decided by the controller.
     """
 
     def __init__(
@@ -45,10 +45,17 @@
         max_connections: int,
         report_fields: tuple[str, ...],
     ) -> None:
-        """Begin without endpoints.
-
-        `idle_ms` is the time after which endpoints close idle connections, `max_connections` the limit for
-        all endpoints together, and `report_fields` the fields of a load report.
+        """Create a pool without endpoints.
+
+        Args:
+            loop: The event loop that opens connections.
+            clock: The clock that the times of attempts and connections refer to.
+            timers: The timers of timeouts and sweeps.
+            metrics: The metrics that count the attempts that have been sent.
+            idle_ms: The time in milliseconds after which endpoints close idle connections.
+            connect_timeout_ms: The time in milliseconds within which a connection has to be established.
+            max_connections: The maximum number of connections to all endpoints together.
+            report_fields: The fields to be read from load reports.
         """
         self.clock = clock
         self.max_connections = max_connections
@@ -59,21 +66,21 @@
         self._idle_timeout_ms = idle_ms * IDLE_TIMEOUT_FRACTION
         self._connect_timeout_ms = connect_timeout_ms
         self.registry = EndpointRegistry()
-        self._streaming: set[UpstreamConnection] = set()  # connections that forward a request or a response
-        self._connection_count = 0  # open or being opened, to all endpoints
+        self._streaming: set[UpstreamConnection] = set()  # connections with stall detection
+        self._connection_count = 0  # connections to all endpoints that are open or being opened
         timers.at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Change the limit on the connections to all endpoints."""
+        """Set the maximum number of connections to all endpoints; existing connections stay open."""
         self.max_connections = max_connections
 
     @property
     def connection_count(self) -> int:
-        """Return the number of connections that are open or being opened."""
+        """The number of connections to all endpoints that are open or being opened."""
         return self._connection_count
 
     def update(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
-        """Apply an endpoint list; see `EndpointRegistry.update`."""
+        """Apply an endpoint list and return the displaced endpoints; see `EndpointRegistry.update`."""
         return self.registry.update(endpoint_list)
 
     def close_idle_connections(self) -> None:
@@ -83,33 +90,33 @@
 
     # -- attempts
 
-    def start(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
-        """Send an attempt on an idle connection, or else on a new one.
+    def start_attempt(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
+        """Send an attempt on an idle connection or, if there is none, on a new connection.
 
-        The outcome is never reported before this method returns. The timeout of a request that is still being
-        received starts with its last byte, by `set_timeout`.
+        The outcome is never reported before this method returns. If the request is still being received, the
+        caller has to call `start_timeout` after its last byte.
         """
         now_ms = self.clock.now()
         attempt.started_ms = now_ms
         if attempt.upload is None or attempt.upload.is_complete:
-            self.set_timeout(attempt, timeout_ms)
+            self.start_timeout(attempt, timeout_ms)
         if attempt.send_by_ms < math.inf:
-            attempt.send_by_timer = self._timers.at(attempt.send_by_ms, attempt.expire)
-        # The event loop may have been delayed since the controller decided to send.
+            attempt.send_by_timer = self._timers.at(attempt.send_by_ms, attempt.expire_if_unsent)
+        # The attempt may have expired since the controller decided to send it, if the event loop was delayed.
         if attempt.may_send(now_ms):
-            self._send(attempt, now_ms)
+            self._send_or_connect(attempt, now_ms)
         else:
             self._loop.call_soon(attempt.fail, AttemptResult.NOT_SENT)
 
-    def set_timeout(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
-        """End the attempt if it has no response after this time from now."""
+    def start_timeout(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
+        """Fail the attempt with TIMEOUT if it has not ended `timeout_ms` from now."""
         attempt.timeout_timer = self._timers.at(
             self.clock.now() + timeout_ms, lambda: attempt.fail(AttemptResult.TIMEOUT)
         )
 
-    def _send(self, attempt: UpstreamAttempt, now_ms: float) -> None:
+    def _send_or_connect(self, attempt: UpstreamAttempt, now_ms: float) -> None:
         endpoint = self.registry.endpoints.get(attempt.endpoint_id)
-        connection = None if endpoint is None else endpoint.take_idle(now_ms)
+        connection = None if endpoint is None else endpoint.take_idle_connection(now_ms)
         if connection is not None:
             connection.send_attempt(attempt)
         elif endpoint is not None and self._may_connect(endpoint):
@@ -121,11 +128,11 @@
         return endpoint.has_capacity() and self._connection_count < self.max_connections
 
     def _connect(self, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt, now_ms: float) -> None:
-        """Open a connection for an attempt."""
+        """Open a connection; `_on_connect_ended` then sends the attempt on it."""
         connection = UpstreamConnection(endpoint, self, self.clock, self._metrics, self._load_reports)
         endpoint.connection_count += 1
         self._connection_count += 1
-        endpoint.connecting.append(attempt)
+        endpoint.waiting_attempts.append(attempt)
         attempt.connect_timer = self._timers.at(
             now_ms + self._connect_timeout_ms, lambda: attempt.fail(AttemptResult.CONNECT_FAILED)
         )
@@ -140,15 +147,17 @@
     ) -> None:
         """Send the attempt on its new connection, or fail it.
 
-        The event loop also calls this for a cancelled task, even for one that never began.
+        The event loop also calls this method for a task that was cancelled, even before its first step.
         """
         endpoint = connection.endpoint
-        endpoint.connecting.remove(attempt)
+        endpoint.waiting_attempts.remove(attempt)
         attempt.connect_task = None
         if attempt.connect_timer is not None:
             attempt.connect_timer.cancel()
         is_connected = _is_connected(connect_task, endpoint) and not connection.is_closed
-        if not attempt.may_send(self.clock.now()):  # its timer may be due as well, and expire later
+        if not attempt.may_send(
+            self.clock.now()
+        ):  # the send deadline may have passed before its timer has fired
             attempt.fail(AttemptResult.NOT_SENT)
         if is_connected and not attempt.is_ended and not endpoint.is_retired:
             connection.send_attempt(attempt)
@@ -159,28 +168,28 @@
     # -- connections
 
     def on_connection_reusable(self, connection: UpstreamConnection) -> None:
-        """Keep a connection whose exchange is complete for reuse, or close it."""
-        if connection.is_closed or not connection.endpoint.keep_idle(connection, self.clock.now()):
+        """Keep a connection for reuse, or close it if its endpoint has no use for it."""
+        if connection.is_closed or not connection.endpoint.keep_idle_connection(connection, self.clock.now()):
             connection.discard()
 
     def on_connection_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection that is closed, or that never opened."""
+        """Remove a connection that has been closed or could not be opened."""
         self._connection_count -= 1
         connection.endpoint.on_connection_closed(connection)
 
     def on_streaming_started(self, connection: UpstreamConnection) -> None:
-        """Begin to watch a connection that forwards a request or a response for stalls."""
+        """Start stall detection for a connection that forwards a request body or a response."""
         self._streaming.add(connection)
 
     def on_streaming_ended(self, connection: UpstreamConnection) -> None:
-        """Stop watching the connection for stalls."""
+        """Stop stall detection for a connection; has no effect if it was not started."""
         self._streaming.discard(connection)
 
     def _sweep(self) -> None:
-        """Abort stalled attempts, and close connections before their endpoints' idle timeout."""
+        """Abort stalled attempts, and close idle connections before the endpoints' idle timeout."""
         now_ms = self.clock.now()
         self._timers.at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
-        for connection in [one for one in self._streaming if one.is_stalled(now_ms)]:
+        for connection in [streaming for streaming in self._streaming if streaming.is_stalled(now_ms)]:
             connection.abort_attempt()
         idle_before_ms = now_ms - self._idle_timeout_ms + SWEEP_INTERVAL_MS
         for endpoint in self.registry.endpoints.values():
@@ -188,7 +197,7 @@
 
 
 def _is_connected(connect_task: ConnectTask, endpoint: UpstreamEndpoint) -> bool:
-    """Return whether a connection was established, and log an error other than the network's."""
+    """Return whether the connection was established, and log an error unless it is an OSError."""
     if connect_task.cancelled():
         return False
     error = connect_task.exception()
--- a/gateway/network/upstream/request_writer.py
+++ b/gateway/network/upstream/request_writer.py
@@ -1,4 +1,4 @@
-"""Writing of one request to an endpoint's connection, and how far it has been sent."""
+"""Writing of requests to a connection, and tracking of their transmission."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class WriterState(Enum):
-    """How far a request has been sent; see RequestWriter for the transitions."""
+    """The progress of sending a request; see RequestWriter for the transitions."""
 
-    IDLE = auto()  # nothing has been written yet
-    WRITING = auto()  # parts of the request are still to come
-    BLOCKED = auto()  # parts are still to come, and the transport's buffer is full
-    FLUSHING = auto()  # the last part waits in the transport's buffer
-    WRITTEN = auto()  # the last part has been handed to the operating system
+    IDLE = auto()  # no request has been started on the connection
+    WRITING = auto()  # the last part is outstanding, and the transport's buffer accepts data
+    BLOCKED = auto()  # the last part is outstanding, and the transport's buffer is full
+    FLUSHING = auto()  # the last part has been written, and the transport's buffer is not empty
+    WRITTEN = auto()  # the operating system has accepted the last part
 
 
-# The states as constants of the module: access to the members of an enum is slow in Python 3.11.
+# Module constants because attribute access on an enum class is slow in Python 3.11.
 _WRITING = WriterState.WRITING
 _BLOCKED = WriterState.BLOCKED
 _FLUSHING = WriterState.FLUSHING
@@ -26,7 +26,7 @@
 
 
 class RequestWriter:
-    """Writes requests to one connection, one after another.
+    """Writes requests to one connection, one at a time, with these transitions.
 
     State     Input                      Next state
     --------  -------------------------  ----------
@@ -38,35 +38,35 @@
     FLUSHING  buffer empty               WRITTEN
     WRITTEN   buffer full                FLUSHING
 
-    The transport reports a full buffer at the end of the event loop's iteration in which it was filled, so a
-    large request can be WRITTEN first and FLUSHING afterwards. The metric of forwarded attempts counts the
-    requests in state WRITTEN.
+    The transport reports a full buffer only at the end of the event loop iteration that filled it, so a large
+    request can be in state WRITTEN before it is in state FLUSHING. The metric of forwarded attempts is
+    incremented on entry to the state WRITTEN and decremented on the transition from WRITTEN to FLUSHING.
     """
 
     __slots__ = ("_metrics", "_transport", "state")
 
     def __init__(self, transport: asyncio.WriteTransport, metrics: Metrics) -> None:
-        """Write to the transport and count the written requests."""
+        """Write to this transport, and count the sent requests in `metrics.relayed`."""
         self.state = WriterState.IDLE
         self._transport = transport
         self._metrics = metrics
 
     @property
     def blocked(self) -> bool:
-        """Return whether the transport's buffer is full."""
+        """Whether the transport's write buffer is full."""
         return self.state is _BLOCKED or self.state is _FLUSHING
 
     @property
     def is_unsent(self) -> bool:
-        """Return whether the request's last byte has not been handed to the operating system."""
+        """Whether the operating system has not yet accepted the last byte of the request."""
         return self.state is not _WRITTEN
 
-    def start(self) -> None:
-        """Begin with another request."""
+    def start_request(self) -> None:
+        """Begin the next request; its parts follow."""
         self.state = _WRITING
 
     def write_part(self, data: bytes) -> None:
-        """Write a part of the request that is not its last."""
+        """Write a part of the request; at least one more part follows."""
         self._transport.write(data)
 
     def write_last(self, data: bytes) -> None:
@@ -78,7 +78,7 @@
             self.state = _FLUSHING
 
     def on_buffer_full(self) -> None:
-        """Record that the transport's buffer is full."""
+        """Update the state after the transport has reported a full write buffer."""
         if self.state is _WRITTEN:
             self._metrics.relayed -= 1
             self.state = _FLUSHING
@@ -86,7 +86,7 @@
             self.state = _BLOCKED
 
     def on_buffer_empty(self) -> None:
-        """Record that the transport's buffer is empty again."""
+        """Update the state after the transport has reported an empty write buffer."""
         if self.state is _FLUSHING:
             self._on_written()
         elif self.state is _BLOCKED:
--- a/gateway/network/upstream/response_reader.py
+++ b/gateway/network/upstream/response_reader.py
@@ -1,4 +1,4 @@
-"""Reading of one HTTP response: bytes in, typed events out, without a transport."""
+"""An incremental reader of HTTP responses that turns bytes into typed events and performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,55 +7,59 @@
 
 import httptools
 
-MAX_HEAD_BYTES = 16 * 1024  # bounds the packets that hold a response's head, interim responses included
-MAX_BODY_BYTES = 64 * 1024 * 1024  # bounds a response's body
-MAX_LENGTH_DIGITS = 9  # bounds the digits of Content-Length before it is converted
-FIRST_FINAL_STATUS = 200  # status codes below it belong to interim responses
+# Maximum size in bytes of the head of a response together with the preceding interim responses. The full size
+# of each input that begins within a head is counted.
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024  # maximum size of a response body in bytes
+MAX_LENGTH_DIGITS = (
+    9  # maximum number of digits of Content-Length, checked before it is converted to an integer
+)
+FIRST_FINAL_STATUS = 200  # smallest status code of a final response; interim responses have smaller ones
 STATUSES_WITHOUT_BODY = frozenset((204, 304))  # status codes of responses that never have a body
 
 
 class MalformedReason(Enum):
-    """Why a response cannot be used."""
+    """The reason for which a response is rejected as malformed."""
 
-    INVALID_SYNTAX = auto()
-    INVALID_LENGTH = auto()  # Content-Length is not a number or exceeds MAX_BODY_BYTES
-    HEAD_TOO_LARGE = auto()
-    BODY_TOO_LARGE = auto()
+    INVALID_SYNTAX = auto()  # not valid HTTP, or an upgrade to another protocol
+    INVALID_LENGTH = auto()  # Content-Length is not a decimal number or exceeds MAX_BODY_BYTES
+    HEAD_TOO_LARGE = auto()  # the head exceeds MAX_HEAD_BYTES
+    BODY_TOO_LARGE = auto()  # the body exceeds MAX_BODY_BYTES
 
 
 @dataclass(slots=True)
 class ResponseHead:
-    """The head of the final response is complete."""
+    """The head of the final response."""
 
     status: int
-    length: int | None  # of the body, in bytes; None where the head does not state it
+    length: int | None  # Content-Length: the size of the body in bytes; None if it is missing
     content_type: bytes = b""
-    load_report: bytes = b""  # the value of X-Load
-    is_not_executed: bool = False  # X-Not-Run: 1, the endpoint did not execute the request
+    load_report: bytes = b""  # the value of X-Load; empty if it is missing
+    is_not_executed: bool = False  # whether X-Not-Run is 1: the endpoint did not execute the request
 
 
 @dataclass(slots=True)
 class BodyPart:
-    """The next bytes of the final response's body."""
+    """The next bytes of the body of the final response."""
 
     data: bytes
 
 
 @dataclass(slots=True)
 class ResponseEnd:
-    """The final response is complete."""
+    """The end of the final response."""
 
-    keep_alive: bool  # the endpoint accepts another request on the connection
+    keep_alive: bool  # whether the endpoint accepts another request on the connection
 
 
 @dataclass(slots=True)
 class UnexpectedData:
-    """Bytes of another response follow the complete one; reported once."""
+    """Bytes that follow the complete response; reported once for each response."""
 
 
 @dataclass(slots=True)
 class MalformedResponse:
-    """The response cannot be used; no event follows."""
+    """The rejection of a malformed response; no event follows."""
 
     reason: MalformedReason
 
@@ -64,18 +68,18 @@
 
 
 class ReaderState(Enum):
-    """What a reader is reading; see ResponseReader for the transitions."""
+    """The part of the response that a reader expects; see ResponseReader for the transitions."""
 
     HEAD = auto()  # the head of an interim response or of the final one
-    INTERIM = auto()  # what follows the head of an interim response
-    BODY = auto()  # a body whose end the framing states
-    BODY_UNTIL_EOF = auto()  # a body that ends with the connection
-    COMPLETE = auto()
-    UNEXPECTED_DATA = auto()  # another response has begun after the complete one
-    MALFORMED = auto()
+    INTERIM = auto()  # the remainder of an interim response after its head
+    BODY = auto()  # a body whose end is determined by the header fields or the status code
+    BODY_UNTIL_EOF = auto()  # a body delimited by the close of the connection
+    COMPLETE = auto()  # the final response has ended
+    UNEXPECTED_DATA = auto()  # bytes have been received after the final response
+    MALFORMED = auto()  # the response has been rejected; further bytes are ignored
 
 
-# The states as constants of the module: access to the members of an enum is slow in Python 3.11.
+# Module constants because attribute access on an enum class is slow in Python 3.11.
 _HEAD = ReaderState.HEAD
 _INTERIM = ReaderState.INTERIM
 _BODY = ReaderState.BODY
@@ -85,7 +89,7 @@
 
 
 class ResponseReader:
-    """Reads one final response and any interim responses before it.
+    """A reader of one final response and the interim responses that precede it.
 
     State           Input                                     Next state       Event
     --------------  ----------------------------------------  ---------------  -----------------
@@ -100,8 +104,9 @@
     COMPLETE        bytes other than empty lines              UNEXPECTED_DATA  UnexpectedData
     before the end  a violation of HTTP's syntax or a limit   MALFORMED        MalformedResponse
 
-    A response without a body passes through BODY as well. The body of an interim response is ignored. An
-    invalid Content-Length and an exceeded limit are reported after the other events of the same input.
+    A response without a body also passes through the state BODY. The body of an interim response produces no
+    events, but its size is limited. An invalid Content-Length and an exceeded limit are reported after the
+    other events of the same input.
     """
 
     __slots__ = (
@@ -119,9 +124,9 @@
     )
 
     def __init__(self) -> None:
-        """Expect the first byte of a response."""
-        self._events: list[ResponseEvent] = []  # of the input being read
-        self._head_size = 0  # bytes of all inputs that began within a head
+        """Create a reader that expects the first byte of a response."""
+        self._events: list[ResponseEvent] = []  # events of the current call of `feed`
+        self._head_size = 0  # total size of the inputs that began within a head
         self._parser = httptools.HttpResponseParser(self)
         self._start_message()
 
@@ -136,7 +141,7 @@
         self._violation: MalformedReason | None = None
 
     def feed(self, data: bytes) -> list[ResponseEvent]:
-        """Read the next bytes of the connection and return the events that they complete."""
+        """Read the next bytes received on the connection and return the resulting events."""
         if self.state is _MALFORMED:
             return []
         if self.state is _HEAD:
@@ -156,14 +161,17 @@
         return events
 
     def feed_eof(self) -> ResponseEnd | None:
-        """Return the end of a response that ends with its connection; None for any other response."""
+        """Process the close of the connection.
+
+        Returns the end of a close-delimited response, or None in any other state.
+        """
         if self.state is not ReaderState.BODY_UNTIL_EOF:
             return None
         self.state = _COMPLETE
         return ResponseEnd(keep_alive=False)
 
     def close(self) -> None:
-        """Release the parser, which refers to the reader; nothing may be read afterwards."""
+        """Release the parser, which refers back to the reader; `feed` must not be called afterwards."""
         self._parser = None
 
     def _on_syntax_error(self) -> None:
@@ -179,12 +187,12 @@
     # -- callbacks of httptools' parser
 
     def on_message_begin(self) -> None:
-        """Detect another response behind a complete one."""
+        """Report unexpected data if another response begins after the final one."""
         if self.state is _COMPLETE:
             self._on_unexpected_data()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Record a header field of a head; trailer fields are ignored."""
+        """Record the value of a header field; trailer fields are ignored."""
         if self.state is not _HEAD:
             return
         name = name.lower()
@@ -208,7 +216,7 @@
             self._length = int(value)
 
     def on_headers_complete(self) -> None:
-        """Report the head of a final response."""
+        """Report the head of a final response; the head of an interim response produces no event."""
         if self.state is not _HEAD:
             return
         status = self._parser.get_status_code()
@@ -227,7 +235,7 @@
             )
 
     def on_body(self, data: bytes) -> None:
-        """Report the next bytes of a final response's body; those of an interim response only count."""
+        """Check the size of the body, and report body bytes of a final response."""
         if self._violation is not None or self._has_ended():
             return
         self._body_size += len(data)
@@ -237,12 +245,12 @@
             self._events.append(BodyPart(data))
 
     def on_message_complete(self) -> None:
-        """Report the end of a final response, or continue behind an interim one."""
+        """Report the end of a final response; after an interim response expect the next head."""
         if self.state is _INTERIM:
             self._start_message()
         elif self._violation is None and not self._has_ended():
             self.state = _COMPLETE
-            # Only during this callback does the parser know whether the connection persists.
+            # The parser knows only during this callback whether the connection is kept alive.
             self._events.append(ResponseEnd(self._parser.should_keep_alive()))
 
     def _has_ended(self) -> bool:
--- a/gateway/network/upstream/response_sink.py
+++ b/gateway/network/upstream/response_sink.py
@@ -1,4 +1,4 @@
-"""The interface of a client to which a response is forwarded while it is received."""
+"""The interface through which a response is forwarded to its client while it is being received."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class ResponseSink(Protocol):
-    """The client's side of a response that is forwarded while it is received."""
+    """The client's connection, to which a response is forwarded."""
 
     transport: asyncio.Transport
 
     def forward(self, part: bytes) -> None:
-        """Write the next part of the body."""
+        """Write the next part of the response body."""
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -71,7 +71,7 @@
         self.number = number
         self.ends = []
 
-    def expire(self):
+    def expire_if_unsent(self):
         self.ends.append("expired")
 
     def cancel(self):
--- a/tests/network/test_streamed_responses.py
+++ b/tests/network/test_streamed_responses.py
@@ -99,7 +99,7 @@
     _, _, writer = await endpoint.next_request_head()
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + bytes(100_000))
     await controller.next_event(ResponseStarted)
-    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_MS", -1.0)
+    monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT_MS", -1.0)
     gateway.upstreams._sweep()
     gateway.upstreams._sweep()  # nothing has changed since the first sweep
     outcome = await controller.next_event(AttemptEnded)
--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -155,7 +155,7 @@
         attempt.connection.pause_writing()  # as the transport does while bytes are unwritten
         assert (await endpoint.next_request()).is_disconnect
     else:
-        attempt.expire()
+        attempt.expire_if_unsent()
         writer.write(http_response())
         assert (await client.next_response()).status == 200
     assert (await controller.next_event(AttemptEnded)).result is result
--- a/tests/network/upstream/test_endpoint.py
+++ b/tests/network/upstream/test_endpoint.py
@@ -8,7 +8,7 @@
 from gateway.interface.events import AttemptResult, Endpoint, EndpointState
 from gateway.network.upstream.endpoint import (
     MAX_CONNECTIONS_PER_ENDPOINT,
-    MAX_IDLE_PER_ENDPOINT,
+    MAX_IDLE_CONNECTIONS_PER_ENDPOINT,
     REUSE_DELAY_MS,
     UpstreamEndpoint,
 )
@@ -41,11 +41,11 @@
     def __init__(self, endpoint):
         self.endpoint = endpoint
         self.result = None
-        endpoint.connecting.append(self)
+        endpoint.waiting_attempts.append(self)
 
     def fail(self, result):
         self.result = result
-        self.endpoint.connecting.remove(self)
+        self.endpoint.waiting_attempts.remove(self)
 
 
 @pytest.fixture
@@ -56,36 +56,36 @@
 def idle_connections(endpoint, *since_ms, has_input=False):
     connections = [FakeConnection(endpoint, has_input=has_input) for _ in since_ms]
     for connection, time_ms in zip(connections, since_ms, strict=True):
-        assert endpoint.keep_idle(connection, time_ms)
+        assert endpoint.keep_idle_connection(connection, time_ms)
     return connections
 
 
 def test_most_recently_used_rested_connection_is_taken(endpoint):
     older, newer, _resting = idle_connections(endpoint, 0.0, 1.0, 5.0)
-    assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is newer
-    assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is older
-    assert endpoint.take_idle(1.0 + REUSE_DELAY_MS) is None
+    assert endpoint.take_idle_connection(1.0 + REUSE_DELAY_MS) is newer
+    assert endpoint.take_idle_connection(1.0 + REUSE_DELAY_MS) is older
+    assert endpoint.take_idle_connection(1.0 + REUSE_DELAY_MS) is None
     assert endpoint.connection_count == 3
 
 
 def test_connection_is_not_taken_before_the_reuse_delay(endpoint):
     idle_connections(endpoint, 100.0)
-    assert endpoint.take_idle(100.0 + REUSE_DELAY_MS - 0.001) is None
+    assert endpoint.take_idle_connection(100.0 + REUSE_DELAY_MS - 0.001) is None
     assert len(endpoint.idle) == 1
 
 
 def test_connections_with_unread_input_are_closed_instead_of_taken(endpoint):
     (clean,) = idle_connections(endpoint, 0.0)
     dirty = idle_connections(endpoint, 1.0, 2.0, has_input=True)
-    assert endpoint.take_idle(1000.0) is clean
+    assert endpoint.take_idle_connection(1000.0) is clean
     assert all(connection.is_closed for connection in dirty)
     assert endpoint.idle == []
     assert endpoint.connection_count == 1
 
 
 def test_idle_connections_are_limited(endpoint):
-    idle_connections(endpoint, *range(MAX_IDLE_PER_ENDPOINT))
-    assert not endpoint.keep_idle(FakeConnection(endpoint), 1000.0)
+    idle_connections(endpoint, *range(MAX_IDLE_CONNECTIONS_PER_ENDPOINT))
+    assert not endpoint.keep_idle_connection(FakeConnection(endpoint), 1000.0)
 
 
 def test_connections_are_limited(endpoint):
@@ -109,7 +109,7 @@
     assert all(connection.is_closed for connection in connections)
     assert not in_use.is_closed
     assert [attempt.result for attempt in attempts] == [AttemptResult.CONNECT_FAILED] * 2
-    assert not endpoint.keep_idle(in_use, 3.0)
+    assert not endpoint.keep_idle_connection(in_use, 3.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/network/upstream/test_exchange.py
+++ b/tests/network/upstream/test_exchange.py
@@ -105,7 +105,7 @@
 
 def test_response_without_length_is_completed_by_the_end_of_the_connection(exchange):
     exchange.receive(OK + b"\r\nbody")
-    assert exchange.ends_with_connection
+    assert exchange.is_close_delimited
     exchange.receive_eof()
     assert exchange.state is ExchangeState.COMPLETE
     assert outcome_of(exchange) == AttemptOutcome(AttemptResult.OK, b"body")
@@ -114,7 +114,7 @@
 
 def test_response_with_length_is_not_completed_by_the_end_of_the_connection(exchange):
     exchange.receive(OK + b"Content-Length: 9\r\n\r\nbody")
-    assert not exchange.ends_with_connection
+    assert not exchange.is_close_delimited
     exchange.receive_eof()
     assert exchange.state is ExchangeState.RECEIVING
 
--- a/tests/network/upstream/test_pool.py
+++ b/tests/network/upstream/test_pool.py
@@ -71,8 +71,8 @@
     upstreams = gateway.upstreams
     (connection,) = upstreams.registry.endpoints["w1"].idle
     since = connection.idle_since_ms
-    assert connection.endpoint.take_idle(since + 9.9) is None
-    assert connection.endpoint.take_idle(since + 10.1) is connection
+    assert connection.endpoint.take_idle_connection(since + 9.9) is None
+    assert connection.endpoint.take_idle_connection(since + 10.1) is connection
 
 
 async def test_late_duplicate_response_is_not_the_next_response(endpoint, gateway, client):
--- a/tests/network/upstream/test_request_writer.py
+++ b/tests/network/upstream/test_request_writer.py
@@ -59,7 +59,7 @@
     writer = RequestWriter(transport, metrics)
     assert writer.state is WriterState.IDLE
     assert writer.is_unsent
-    writer.start()
+    writer.start_request()
     for step in steps:
         apply(writer, step)
     assert writer.state is state
@@ -73,7 +73,7 @@
     metrics = Metrics([])
     transport = FakeTransport()
     writer = RequestWriter(transport, metrics)
-    writer.start()
+    writer.start_request()
     transport.on_write = writer.on_buffer_full
     writer.write_last(b"request")
     assert writer.state is WriterState.FLUSHING
@@ -84,7 +84,7 @@
     metrics = Metrics([])
     writer = RequestWriter(FakeTransport(), metrics)
     for _ in range(2):
-        writer.start()
+        writer.start_request()
         assert writer.is_unsent
         writer.write_last(b"request")
     assert metrics.relayed == 2
