--- a/gateway/network/discovery/__init__.py
+++ b/gateway/network/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the calls that fetch endpoint lists, and the watch that repeats them."""
+"""The client side of discovery: fetching the endpoint list and watching it for changes."""
--- a/gateway/network/discovery/backoff.py
+++ b/gateway/network/discovery/backoff.py
@@ -1,38 +1,42 @@
-"""The delay before the next call of discovery, and the timeout of a watch."""
+"""The delays between calls of discovery after failures, and the timeout of a watch."""
 
 from __future__ import annotations
 
 import random
 
-# Seconds after which a change has to be known at the latest, counted from when discovery has it and is
-# reachable. A failed call, the delay after it and the next call together take no longer.
-FRESHNESS_S = 5.7
-CALL_TIMEOUT_S = 2.2  # seconds to wait for the response to a call that is no watch
-WATCH_TIMEOUT_MS = 5000  # milliseconds for which a watch waits for a change in a small fleet
-SMALL_FLEET = 5  # number of gateways up to which neither watches nor delays are extended
-MAX_WATCH_FACTOR = 8.0  # bounds the factor by which a large fleet extends its watches
-INITIAL_BACKOFF_S = 0.02  # seconds of backoff after the first failed call; doubles with each further one
-MAX_BACKOFF_S = 0.5  # bounds the backoff in seconds, before jitter
-MAX_DOUBLINGS = 10  # bounds how often backoff and spread double
-MIN_BACKOFF_JITTER = 0.5  # smallest factor by which the backoff is randomized
-MAX_BACKOFF_JITTER = 1.5  # largest factor by which the backoff is randomized
-# Seconds per gateway beyond SMALL_FLEET over which a fleet spreads its calls after a failure.
+# Maximum time in seconds until the gateway knows a change of the endpoint list, counted from when discovery
+# has the change and is reachable. It limits the sum of three times: the part of a failed call for which
+# discovery may have been reachable, the delay after this call, and the next call.
+MAX_LIST_STALENESS_S = 5.7
+CALL_TIMEOUT_S = 2.2  # timeout in seconds of a call that does not wait for a change
+WATCH_TIMEOUT_MS = 5000  # milliseconds for which a watch waits for a change, in a fleet of SMALL_FLEET_SIZE
+SMALL_FLEET_SIZE = 5  # maximum number of gateways in a fleet that neither extends watches nor spreads retries
+MAX_WATCH_TIMEOUT_FACTOR = 8.0  # maximum factor by which a larger fleet extends WATCH_TIMEOUT_MS
+INITIAL_BACKOFF_S = 0.02  # seconds of backoff after the first failed call; doubles with each further failure
+MAX_BACKOFF_S = 0.5  # maximum backoff in seconds, before jitter
+# Maximum number of times that the backoff and the spread interval double; both reach their maximum earlier.
+MAX_DOUBLINGS = 10
+MIN_BACKOFF_JITTER = 0.5  # smallest random factor that is applied to the backoff
+MAX_BACKOFF_JITTER = 1.5  # largest random factor that is applied to the backoff
+# The retries of a fleet are spread over an interval of this many seconds per gateway beyond SMALL_FLEET_SIZE.
 SPREAD_PER_GATEWAY_S = 0.8
-# Initial value of the same until the first list is received, as the configured list may be outdated.
+# Initial value that replaces SPREAD_PER_GATEWAY_S until a call has succeeded; doubles with each failure. It
+# is smaller because the configured endpoint list may be outdated.
 INITIAL_SPREAD_PER_GATEWAY_S = 0.25
-MIN_RETRY_JITTER = 0.8  # fraction of the spread before which no retry after the first one is made
+# Fraction of the spread interval before which neither the second nor a later retry after a success is made.
+MIN_RETRY_JITTER = 0.8
 
 
 class DiscoveryBackoff:
-    """Exponential backoff with jitter, spread over the fleet.
+    """Exponential backoff with jitter, with retries spread over the gateways of the fleet.
 
-    A shared discovery service handles one call after another and rejects those that waited too long, at the
-    cost of a handled one. Once the fleet calls faster than the service responds, all calls fail until they
-    become fewer, so gateways spread their calls. The agent on a gateway's own machine has no other caller:
-    delays would only make the list older.
+    A shared discovery service processes one call at a time and rejects calls that have waited too long. A
+    rejection costs the service as much as a response. If a fleet makes calls faster than the service
+    responds, all calls fail until the rate drops, so gateways spread their retries. An agent on the gateway's
+    own machine has no other caller, so longer delays would only make the endpoint list older.
 
-    The first call after a failure is spread evenly. Later ones are made towards the end of the spread, which
-    keeps the gateways apart with the fewest calls.
+    The first retry after a success is made at a random time in the spread interval. Later retries are made
+    near the end of the interval, which keeps the gateways apart with the fewest calls.
     """
 
     def __init__(
@@ -43,12 +47,16 @@
         is_only_caller: bool = False,
         max_backoff_s: float = MAX_BACKOFF_S,
     ) -> None:
-        """Share discovery with a fleet of this size, or be its only caller."""
+        """Create the backoff of one gateway in a fleet of `fleet_size` gateways.
+
+        If `is_only_caller` is set, retries are not spread until discovery reports an overload.
+        `max_backoff_s` is the maximum backoff in seconds, before jitter.
+        """
         self._fleet_size = fleet_size
         self._rng = rng
         self._max_backoff_s = max_backoff_s
-        self._callers = 1 if is_only_caller else fleet_size
-        self._failures = 0  # calls that failed since the last successful one
+        self._caller_count = 1 if is_only_caller else fleet_size
+        self._failures = 0  # number of failed calls since the last successful call
         self._spread_per_gateway_s = INITIAL_SPREAD_PER_GATEWAY_S
 
     def on_success(self) -> None:
@@ -57,23 +65,24 @@
         self._spread_per_gateway_s = SPREAD_PER_GATEWAY_S
 
     def on_overload(self) -> None:
-        """Assume that discovery is shared with the fleet, because it has too many callers."""
-        self._callers = self._fleet_size
+        """Spread retries over the fleet from now on: discovery has too many callers, so it is shared."""
+        self._caller_count = self._fleet_size
 
     def watch_timeout_ms(self) -> int:
-        """Return how long a watch may wait for a change, in milliseconds."""
-        factor = max(1.0, self._callers / SMALL_FLEET)
-        return int(WATCH_TIMEOUT_MS * min(MAX_WATCH_FACTOR, factor))
+        """Return the time in milliseconds for which a watch waits for a change."""
+        factor = max(1.0, self._caller_count / SMALL_FLEET_SIZE)
+        return int(WATCH_TIMEOUT_MS * min(MAX_WATCH_TIMEOUT_FACTOR, factor))
 
-    def next_delay_s(self, elapsed_s: float = 0.0) -> float:
-        """Return the delay after a failed call, in seconds.
+    def next_delay_s(self, reachable_s: float = 0.0) -> float:
+        """Record a failed call and return the delay in seconds before the next call.
 
-        `elapsed_s` is the time, of the failed call, for which discovery may have been reachable.
+        `reachable_s` is the part of the failed call's duration, in seconds, for which discovery may have been
+        reachable. It shortens the maximum delay, see MAX_LIST_STALENESS_S.
         """
         is_first = not self._failures
         growth = 2.0 ** min(self._failures, MAX_DOUBLINGS)
         self._failures += 1
-        max_delay_s = max(INITIAL_BACKOFF_S, FRESHNESS_S - CALL_TIMEOUT_S - elapsed_s)
+        max_delay_s = max(INITIAL_BACKOFF_S, MAX_LIST_STALENESS_S - CALL_TIMEOUT_S - reachable_s)
         backoff_s = self._jittered_backoff_s(growth)
         spread_s = min(max_delay_s, self._fleet_spread_s(growth))
         jitter = self._rng.uniform(0.0 if is_first else MIN_RETRY_JITTER, 1.0)
@@ -85,4 +94,4 @@
 
     def _fleet_spread_s(self, growth: float) -> float:
         per_gateway_s = min(SPREAD_PER_GATEWAY_S, self._spread_per_gateway_s * growth)
-        return per_gateway_s * max(0, self._callers - SMALL_FLEET)
+        return per_gateway_s * max(0, self._caller_count - SMALL_FLEET_SIZE)
--- a/gateway/network/discovery/drain_memory.py
+++ b/gateway/network/discovery/drain_memory.py
@@ -1,4 +1,4 @@
-"""A record of draining and removed endpoints, which outdated snapshots do not overrule."""
+"""A record of draining and removed endpoints that protects it against outdated snapshots."""
 
 from __future__ import annotations
 
@@ -7,32 +7,38 @@
 from gateway.config import EndpointEntry, EndpointList
 from gateway.interface.events import EndpointState
 
-MEMORY_S = 120.0  # seconds for which a withdrawn endpoint is remembered
+WITHDRAWAL_RETENTION_S = 120.0  # seconds for which the withdrawal of an endpoint is recorded
 
 
 @dataclass(frozen=True, slots=True)
 class _Withdrawal:
-    """An endpoint's process was reported as draining or removed."""
+    """The withdrawal of an endpoint's process, reported as draining, removed or no longer listed."""
 
     started_ms: float  # Unix time in milliseconds at which the process started
-    reported_s: float  # time of the event loop in seconds
+    reported_s: float  # event loop time in seconds at which the withdrawal was reported
 
 
 class DrainMemory:
-    """Keeps endpoints withdrawn in spite of snapshots that are older than their withdrawal.
+    """Prevents outdated snapshots from making withdrawn endpoints ready again.
 
-    After a change of the address, discovery may be behind what it reported at the old address. An endpoint
-    that was withdrawn since the version of such a snapshot is not made ready again by it.
+    After a change of discovery's address, the service at the new address may return a snapshot with a lower
+    index than the lists from the old address. An endpoint that was withdrawn after that index stays withdrawn
+    even if the snapshot lists it as ready.
     """
 
     def __init__(self, newest_index: int) -> None:
-        """Begin with the newest version of the list that is known."""
-        self._newest_index = newest_index  # of all lists, at any address
-        self._ready: dict[str, float] = {}  # start time of each ready endpoint's process, by id
-        self._withdrawn: dict[str, _Withdrawal] = {}  # by the endpoint's id
+        """Create an empty record; `newest_index` is the highest known index of the endpoint list."""
+        self._newest_index = newest_index  # highest index of all received lists, independent of the address
+        self._ready: dict[
+            str, float
+        ] = {}  # start time in milliseconds of each ready endpoint, by endpoint id
+        self._withdrawn: dict[str, _Withdrawal] = {}  # by endpoint id
 
     def reconcile(self, endpoint_list: EndpointList, now_s: float) -> EndpointList:
-        """Return the list with the endpoints that it wrongly lists as ready marked as draining."""
+        """Record an endpoint list and return it, corrected if it is an outdated snapshot.
+
+        Withdrawn endpoints that an outdated snapshot lists as ready are marked as draining in the result.
+        """
         if endpoint_list.is_snapshot and endpoint_list.index < self._newest_index:
             entries = tuple(map(self._as_withdrawn, endpoint_list.entries))
             endpoint_list = replace(endpoint_list, entries=entries)
@@ -42,8 +48,8 @@
         else:
             self._newest_index = max(self._newest_index, endpoint_list.index)
         for entry in endpoint_list.entries:
-            self._record(entry, now_s)
-        self._forget_old_withdrawals(now_s)
+            self._record_state(entry, now_s)
+        self._discard_old_withdrawals(now_s)
         return endpoint_list
 
     def _as_withdrawn(self, entry: EndpointEntry) -> EndpointEntry:
@@ -52,7 +58,7 @@
         if endpoint.state is not EndpointState.READY or withdrawal is None:
             return entry
         if withdrawal.started_ms != endpoint.started_ms:
-            return entry  # another process
+            return entry  # the endpoint has restarted since its withdrawal
         return replace(entry, endpoint=replace(endpoint, state=EndpointState.DRAINING))
 
     def _withdraw_unlisted(self, snapshot: EndpointList, now_s: float) -> None:
@@ -60,7 +66,7 @@
         for endpoint_id in self._ready.keys() - listed:
             self._withdrawn[endpoint_id] = _Withdrawal(self._ready.pop(endpoint_id), now_s)
 
-    def _record(self, entry: EndpointEntry, now_s: float) -> None:
+    def _record_state(self, entry: EndpointEntry, now_s: float) -> None:
         endpoint = entry.endpoint
         if endpoint.state is EndpointState.READY:
             self._ready[endpoint.id] = endpoint.started_ms
@@ -69,9 +75,9 @@
             self._ready.pop(endpoint.id, None)
             self._withdrawn[endpoint.id] = _Withdrawal(endpoint.started_ms, now_s)
 
-    def _forget_old_withdrawals(self, now_s: float) -> None:
+    def _discard_old_withdrawals(self, now_s: float) -> None:
         self._withdrawn = {
             endpoint_id: withdrawal
             for endpoint_id, withdrawal in self._withdrawn.items()
-            if now_s - withdrawal.reported_s < MEMORY_S
+            if now_s - withdrawal.reported_s < WITHDRAWAL_RETENTION_S
         }
--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list: a snapshot first, then incremental updates."""
+"""The watch of discovery's endpoint list, which receives a snapshot and then incremental updates."""
 
 from __future__ import annotations
 
@@ -24,23 +24,26 @@
 )
 from gateway.network.discovery.drain_memory import DrainMemory
 
-PATH = "/discovery/hosts"  # the resource that lists the endpoints
-# Timeout in milliseconds of the first watch and of the first one after a failure. A long one could remain
-# without a response unnoticed.
-SHORT_WATCH_MS = 1
-WATCH_GRACE_S = 1.0  # seconds beyond its timeout after which a watch without a response has failed
-MIN_WATCH_INTERVAL_S = 0.05  # seconds between watches that return at once without a change
-RESTART_DELAY_S = 0.5  # seconds before a watch that failed by an internal error is restarted
-MAX_DRAIN_GRACE_FRACTION = 0.25  # share of the drain grace period that a delay may take for pushed lists
+ENDPOINT_LIST_PATH = "/discovery/hosts"  # the path of the endpoint list
+# Milliseconds for which the first watch and the first watch after a failure wait for a change. If discovery
+# is unresponsive, a longer watch would detect it later.
+SHORT_WATCH_TIMEOUT_MS = 1
+WATCH_GRACE_S = 1.0  # seconds for the response to a watch beyond the time for which it waits for a change
+MIN_WATCH_INTERVAL_S = 0.05  # delay in seconds after a watch that responds at once without a change
+RESTART_DELAY_S = 0.5  # delay in seconds before the watch is restarted after an internal error
+# Maximum backoff for pushed lists as a fraction of the drain grace period. The gateway has to know that an
+# endpoint is draining before the grace period ends.
+MAX_DRAIN_GRACE_FRACTION = 0.25
 
 log = logging.getLogger(__name__)
 
 
 class EndpointWatch:
-    """Watches discovery's endpoint list and reports its snapshots and incremental updates.
+    """A watch of discovery's endpoint list that reports snapshots and incremental updates.
 
-    Pushed lists come from an agent on the gateway's own machine, which responds at once and at no cost.
-    Polled lists come from one service for the fleet; a rejection for overload shows that it is shared.
+    Pushed lists come from an agent on the gateway's own machine, which responds immediately and at no cost.
+    Polled lists come from a service that all gateways of the fleet share. A rejection for overload shows that
+    an address assumed to be an agent is shared as well.
     """
 
     def __init__(
@@ -54,13 +57,20 @@
         is_pushed: bool = False,
         drain_grace_s: float = math.inf,
     ) -> None:
-        """Report lists to `on_list`; without a known version the first call requests a snapshot.
-
-        `drain_grace_s` is the time in seconds after which a draining endpoint may receive no attempt.
+        """Create a watch; `run` executes it.
+
+        Args:
+            address: The address of discovery.
+            on_list: Called with each snapshot and with each incremental update that has entries.
+            known_index: The index of the configured endpoint list; None to request a snapshot first.
+            fleet_size: The number of gateways in the fleet.
+            seed: The seed of the random delays.
+            is_pushed: Whether the lists come from an agent on this machine.
+            drain_grace_s: The time in seconds after which a draining endpoint may receive no attempt.
         """
         self._address = address
         self._on_list = on_list
-        self._index = known_index  # the list's known version; None requests a snapshot
+        self._index = known_index  # the index of the known endpoint list; None requests a snapshot
         self._backoff = DiscoveryBackoff(
             fleet_size,
             random.Random(seed),
@@ -69,13 +79,15 @@
         )
         self._client = DiscoveryClient(address)
         self._drain_memory = DrainMemory(known_index or 0)
-        self._is_failure_logged = False  # and no call has succeeded since
-        self._was_rejected = False  # the previous call failed otherwise than by a timeout
+        self._is_failure_logged = False  # whether a failure has been logged since the last successful call
+        self._was_last_call_rejected = (
+            False  # whether the previous call failed for a reason other than a timeout
+        )
         self._address_changed = asyncio.Event()
-        self.list_received = asyncio.Event()  # set once a call has succeeded
+        self.list_received = asyncio.Event()  # set when the first call succeeds
 
     def set_address(self, address: Address) -> None:
-        """Continue at another address, beginning with a snapshot."""
+        """Cancel the call in progress and continue at another address, beginning with a snapshot."""
         if address == self._address:
             return
         self._address = address
@@ -85,7 +97,7 @@
         self._address_changed.set()
 
     async def run(self) -> None:
-        """Watch until cancelled, restarting after a change of the address and after an internal error."""
+        """Watch until cancelled; restart after a change of the address and after an internal error."""
         while True:
             self._address_changed.clear()
             error = await self._watch_until_address_changes()
@@ -94,9 +106,9 @@
                 await asyncio.sleep(RESTART_DELAY_S)
 
     async def _watch_until_address_changes(self) -> BaseException | None:
-        """Watch until the address changes, then cancel the call, the connecting or the delay in progress.
+        """Watch until the address changes, then cancel the connection attempt, call or delay in progress.
 
-        Returns the error that ended the watch, if any.
+        Returns the error with which the watch ended, if any.
         """
         watch = asyncio.create_task(self._watch())
         address_changed = asyncio.create_task(self._address_changed.wait())
@@ -109,48 +121,59 @@
         return error
 
     async def _watch(self) -> None:
-        """Poll one address until cancelled. After a failure the watch continues from the known version."""
+        """Watch the list at the current address until cancelled.
+
+        After a failure, the watch continues from the known index.
+        """
         loop = asyncio.get_running_loop()
-        watch_ms = SHORT_WATCH_MS
-        self._was_rejected = False
+        watch_timeout_ms = SHORT_WATCH_TIMEOUT_MS
+        self._was_last_call_rejected = False
         try:
             while True:
                 started_s = loop.time()
                 try:
-                    is_unchanged = await self._poll(watch_ms)
+                    is_unchanged = await self._poll(watch_timeout_ms)
                 except DiscoveryError as error:
                     delay_s = self._delay_after_failure_s(error, loop.time() - started_s)
-                    watch_ms = SHORT_WATCH_MS
+                    watch_timeout_ms = SHORT_WATCH_TIMEOUT_MS
                 else:
-                    is_watch = is_unchanged and watch_ms > SHORT_WATCH_MS
+                    is_watch = is_unchanged and watch_timeout_ms > SHORT_WATCH_TIMEOUT_MS
                     is_immediate = is_watch and loop.time() - started_s < MIN_WATCH_INTERVAL_S
                     delay_s = MIN_WATCH_INTERVAL_S if is_immediate else 0.0
-                    watch_ms = self._backoff.watch_timeout_ms()
+                    watch_timeout_ms = self._backoff.watch_timeout_ms()
                 if delay_s:
                     await asyncio.sleep(delay_s)
         finally:
             self._client.close()
 
-    async def _poll(self, watch_ms: int) -> bool:
-        """Make one call and report its list; return whether it was a watch that ended without a change."""
+    async def _poll(self, watch_timeout_ms: int) -> bool:
+        """Fetch and report one snapshot or incremental update.
+
+        Returns whether the call was a watch that ended without a change.
+        """
         index = self._index
         if index is None:
-            endpoint_list = await self._fetch_list(PATH, CALL_TIMEOUT_S)
+            endpoint_list = await self._fetch_list(ENDPOINT_LIST_PATH, CALL_TIMEOUT_S)
         else:
-            timeout_s = max(CALL_TIMEOUT_S, watch_ms / 1000 + WATCH_GRACE_S)
-            endpoint_list = await self._fetch_list(f"{PATH}?since={index}&timeout_ms={watch_ms}", timeout_s)
+            timeout_s = max(CALL_TIMEOUT_S, watch_timeout_ms / 1000 + WATCH_GRACE_S)
+            endpoint_list = await self._fetch_list(
+                f"{ENDPOINT_LIST_PATH}?since={index}&timeout_ms={watch_timeout_ms}", timeout_s
+            )
         if not endpoint_list.is_snapshot and (index is None or endpoint_list.index < index):
-            raise InvalidResponseError("an incremental update instead of a snapshot, or an older version")
-        self._report(endpoint_list)
+            expected = "a snapshot" if index is None else f"index {index} or higher"
+            raise InvalidResponseError(
+                f"unexpected incremental update with index {endpoint_list.index}, expected {expected}"
+            )
+        self._report_list(endpoint_list)
         self._index = endpoint_list.index
         self._backoff.on_success()
-        self._was_rejected = False
+        self._was_last_call_rejected = False
         return index is not None and not endpoint_list.entries
 
     async def _fetch_list(self, target: str, timeout_s: float) -> EndpointList:
         return await self._client.fetch_list(target, timeout_s)
 
-    def _report(self, endpoint_list: EndpointList) -> None:
+    def _report_list(self, endpoint_list: EndpointList) -> None:
         if endpoint_list.entries or endpoint_list.is_snapshot:
             now_s = asyncio.get_running_loop().time()
             self._on_list(self._drain_memory.reconcile(endpoint_list, now_s))
@@ -158,7 +181,10 @@
         self._is_failure_logged = False
 
     def _delay_after_failure_s(self, error: DiscoveryError, elapsed_s: float) -> float:
-        """Record a failed call that took `elapsed_s`; return the delay in seconds before the next call."""
+        """Record a failed call and return the delay in seconds before the next call.
+
+        `elapsed_s` is the duration of the failed call in seconds.
+        """
         self._client.close()
         if not self._is_failure_logged:
             log.warning("discovery: call failed, retrying with backoff (logged once per outage): %s", error)
@@ -169,18 +195,22 @@
             self._index = None
         is_timeout = isinstance(error, DiscoveryTimeoutError)
         reachable_s = elapsed_s if is_timeout or self._may_have_been_reachable(elapsed_s) else 0.0
-        self._was_rejected = not is_timeout
+        self._was_last_call_rejected = not is_timeout
         return self._backoff.next_delay_s(reachable_s)
 
     def _may_have_been_reachable(self, elapsed_s: float) -> bool:
-        """Return whether discovery may have been reachable since the start of a call that was rejected.
+        """Return whether to assume that discovery was reachable since the start of a call without a timeout.
 
-        After repeated rejections earlier calls gain nothing. A long call was a watch, whose break shows when
-        discovery became unreachable.
+        If it is true, the next call is made earlier. That gains nothing if the previous call was rejected as
+        well. It is also false for a call longer than CALL_TIMEOUT_S: only a watch lasts that long, and its
+        failure shows when discovery became unreachable.
         """
-        return not self._was_rejected and elapsed_s <= CALL_TIMEOUT_S
+        return not self._was_last_call_rejected and elapsed_s <= CALL_TIMEOUT_S
 
 
 def _max_backoff_s(drain_grace_s: float) -> float:
-    """Return the longest backoff for pushed lists, which take effect whether they are received or not."""
+    """Return the maximum backoff in seconds for pushed lists.
+
+    The drain grace period of an endpoint elapses whether or not the gateway has received the list.
+    """
     return max(INITIAL_BACKOFF_S, min(MAX_BACKOFF_S, drain_grace_s * MAX_DRAIN_GRACE_FRACTION))
--- a/gateway/network/upstream/pool.py
+++ b/gateway/network/upstream/pool.py
@@ -189,7 +189,7 @@
         """Abort stalled attempts, and close idle connections before the endpoints' idle timeout."""
         now_ms = self.clock.now()
         self._timers.at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
-        for connection in [streaming for streaming in self._streaming if streaming.is_stalled(now_ms)]:
+        for connection in [connection for connection in self._streaming if connection.is_stalled(now_ms)]:
             connection.abort_attempt()
         idle_before_ms = now_ms - self._idle_timeout_ms + SWEEP_INTERVAL_MS
         for endpoint in self.registry.endpoints.values():
