--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -36,7 +36,7 @@
         self._attempts = attempts
         self._events = events
 
-    def send(self, action: SendAttempt) -> None:
+    def send_attempt(self, action: SendAttempt) -> None:
         """Start an attempt, unless its request has ended or its client has disconnected."""
         request = self._requests.open.get(action.id)
         if request is None:
@@ -48,7 +48,7 @@
         else:
             self._start(request, action)
 
-    def cancel(self, action: CancelAttempt) -> None:
+    def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancel an attempt, if it is in flight."""
         attempt = self._attempts.get(action.id, action.attempt)
         if attempt is not None:
@@ -59,7 +59,7 @@
         now_ms = self._clock.now()
         for attempt in self._attempts.of_request(request):
             attempt.started_ms = now_ms
-            self._upstreams.set_timeout(attempt, timeout_ms)
+            self._upstreams.start_timeout(attempt, timeout_ms)
 
     def _start(self, request: OpenRequest, action: SendAttempt) -> None:
         upload = request.upload
@@ -75,7 +75,7 @@
         )
         request.attempt_count += 1
         self._attempts.add(attempt)
-        self._upstreams.start(attempt, action.timeout_ms)
+        self._upstreams.start_attempt(attempt, action.timeout_ms)
 
     def _report_not_sent(self, action: SendAttempt, number: int) -> None:
         self._events.enqueue(
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -117,7 +117,7 @@
 
     def send_attempt(self, action: SendAttempt) -> None:
         """Start an attempt."""
-        self.attempt_runner.send(action)
+        self.attempt_runner.send_attempt(action)
 
     def reject(self, action: Reject) -> None:
         """Answer 503, with advice when to retry."""
@@ -129,7 +129,7 @@
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancel an attempt."""
-        self.attempt_runner.cancel(action)
+        self.attempt_runner.cancel_attempt(action)
 
     def set_timer(self, action: SetTimer) -> None:
         """Report the timer on the grid of the controller's ticks: timers of one tick share one turn."""
@@ -175,7 +175,7 @@
         self.role.retire(successor)
         self.gossip_socket.stop_listening()
         self.upstreams.close_idle_connections()
-        self.upstreams.limit(self.upstreams.connections)
+        self.upstreams.set_max_connections(self.upstreams.connection_count)
         return hot_restart.export_state(self.controller_loop.controller, self.clock.now())
 
     def take_over(
@@ -205,7 +205,7 @@
 
     def _limit_descriptors(self, descriptors: int) -> None:
         self.connections.limit(shareable_descriptors(descriptors))
-        self.upstreams.limit(max_upstream_connections(descriptors))
+        self.upstreams.set_max_connections(max_upstream_connections(descriptors))
 
     # -- the phases of the service
 
