--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -173,7 +173,7 @@
     def retire(self, successor: SuccessorLink) -> GatewayState:
         """Leave the service to the successor and return the controller's state; open requests stay here."""
         self.role.retire(successor)
-        self.gossip_socket.stop_listening()
+        self.gossip_socket.stop_receiving()
         self.upstreams.close_idle_connections()
         self.upstreams.limit(self.upstreams.connections)
         return hot_restart.export_state(self.controller_loop.controller, self.clock.now())
@@ -199,7 +199,7 @@
         if not self.role.is_ready:
             return False
         hot_restart.resume(self.controller_loop.controller, self.clock.now())
-        self.gossip_socket.listen()
+        self.gossip_socket.start_receiving()
         self._limit_descriptors(self.config.sockets)
         return True
 
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -50,14 +50,14 @@
         self._socket = handed_over or bind_socket(
             socket.SOCK_DGRAM, self._config.peer_listen, is_shared=self._config.shares_addresses
         )
-        self.listen()
+        self.start_receiving()
 
-    def listen(self) -> None:
+    def start_receiving(self) -> None:
         """Receive datagrams."""
         if self._socket is not None and self._loop is not None:
             self._loop.add_reader(self._socket, self._receive, self._socket)
 
-    def stop_listening(self) -> None:
+    def stop_receiving(self) -> None:
         """Leave datagrams to another process; this one can still send."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
@@ -83,7 +83,7 @@
     def close(self) -> None:
         """Close the socket."""
         if self._socket is not None:
-            self.stop_listening()
+            self.stop_receiving()
             self._socket.close()
             self._socket = None
 
