--- a/gateway/network/admin/metrics.py
+++ b/gateway/network/admin/metrics.py
@@ -26,7 +26,7 @@
     def __init__(self, class_names: Iterable[str]) -> None:
         """Count the requests of these classes."""
         self.operations = {(name, status): 0 for name in class_names for status in FinalStatus}
-        self.relayed = 0  # attempts written completely to endpoints
+        self.forwarded_attempts = 0  # attempts written completely to endpoints
 
     def on_final_answer(self, class_name: str, status: FinalStatus) -> None:
         """Count a request that has had its final answer."""
@@ -42,7 +42,9 @@
                 f'{name}{{priority="{escape(class_name)}",status="{status.value}"}} {count}'
                 for (class_name, status), count in self.operations.items()
             ),
-            *_single("relayed_total", "counter", "Attempts written whole to workers.", self.relayed),
+            *_single(
+                "relayed_total", "counter", "Attempts written whole to workers.", self.forwarded_attempts
+            ),
             *_single("open_requests", "gauge", "Requests taken and not ended.", open_requests),
             *_single("registry_entries", "gauge", "Workers in discovery's list.", registry_entries),
             *_single("out_of_rotation", "gauge", "Listed workers that get nothing now.", out_of_rotation),
--- a/gateway/network/upstream/request_writer.py
+++ b/gateway/network/upstream/request_writer.py
@@ -80,7 +80,7 @@
     def on_buffer_full(self) -> None:
         """Record that the transport's buffer is full."""
         if self.state is _WRITTEN:
-            self._metrics.relayed -= 1
+            self._metrics.forwarded_attempts -= 1
             self.state = _FLUSHING
         elif self.state is not _FLUSHING:
             self.state = _BLOCKED
@@ -94,4 +94,4 @@
 
     def _on_written(self) -> None:
         self.state = _WRITTEN
-        self._metrics.relayed += 1
+        self._metrics.forwarded_attempts += 1
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -54,7 +54,7 @@
     head, reader, writer = await endpoint.next_request_head()
     await controller.next_event(BodyReleased)
     assert not [one for one in controller.events if isinstance(one, RequestCompleted)]
-    assert gateway.metrics.relayed == 0  # incomplete at the endpoint
+    assert gateway.metrics.forwarded_attempts == 0  # incomplete at the endpoint
     client.send(body[-1:] + (b"\r\n0\r\nX-Trailer: t\r\n\r\n" if chunked else b""))
     received = b""
     while len(received) < LARGE:
@@ -68,7 +68,7 @@
     await controller.next_event(RequestCompleted)
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     assert (await client.next_response()).status_and_body == (200, b"ok")
-    assert gateway.metrics.relayed == 1
+    assert gateway.metrics.forwarded_attempts == 1
 
 
 async def test_endpoint_that_does_not_read_pauses_its_client(
--- a/tests/network/upstream/test_request_writer.py
+++ b/tests/network/upstream/test_request_writer.py
@@ -65,7 +65,7 @@
     assert writer.state is state
     assert writer.blocked is blocked
     assert writer.is_unsent is (state is not WriterState.WRITTEN)
-    assert metrics.relayed == written
+    assert metrics.forwarded_attempts == written
     assert len(transport.data) == sum(step in (PART, LAST) for step in steps)
 
 
@@ -77,7 +77,7 @@
     transport.on_write = writer.on_buffer_full
     writer.write_last(b"request")
     assert writer.state is WriterState.FLUSHING
-    assert metrics.relayed == 0
+    assert metrics.forwarded_attempts == 0
 
 
 def test_second_request_is_counted_as_well():
@@ -87,4 +87,4 @@
         writer.start()
         assert writer.is_unsent
         writer.write_last(b"request")
-    assert metrics.relayed == 2
+    assert metrics.forwarded_attempts == 2
