--- a/gateway/simulator/__init__.py
+++ b/gateway/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the simulator, which lets it run the decision package: `python -m gateway.simulator`."""
+"""The adapter through which the simulator runs controllers: `python -m gateway.simulator`."""
--- a/gateway/simulator/fields.py
+++ b/gateway/simulator/fields.py
@@ -1,6 +1,7 @@
-"""The conversions of the text fields of the simulator's messages.
+"""Parsers of the fields of the simulator's messages.
 
-Each function returns the value of one field. It raises ValueError or KeyError where the text is invalid.
+Each function returns the value that the text of a field stands for, and raises ValueError or KeyError if the
+text is invalid.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 
 from gateway.interface.events import AttemptResult, EndpointState
 
-NO_VALUE = "-"  # text of a field without a value
+NO_VALUE = "-"  # the text of a field that has no value
 
 _RESULTS = {
     "ok": AttemptResult.OK,
@@ -28,58 +29,58 @@
 }
 
 
-def number(text: str) -> float:
-    """Return a finite number; 0 where there is no value."""
+def parse_number(text: str) -> float:
+    """Return a finite number; 0 if the field has no value."""
     if text == NO_VALUE:
         return 0.0
     value = float(text)
     if not math.isfinite(value):
-        raise ValueError(text)
+        raise ValueError(f"{text!r} is not a finite number")
     return value
 
 
-def integer(text: str) -> int:
-    """Return an integer; 0 where there is no value."""
+def parse_integer(text: str) -> int:
+    """Return an integer; 0 if the field has no value."""
     return 0 if text == NO_VALUE else int(text)
 
 
-def natural(text: str) -> int:
-    """Return an integer that is not negative."""
+def parse_non_negative_integer(text: str) -> int:
+    """Return an integer that is not negative; the field must have a value."""
     value = int(text)
     if value < 0:
-        raise ValueError(text)
+        raise ValueError(f"{text!r} is negative")
     return value
 
 
-def word(text: str) -> str:
-    """Return a text that is not empty."""
+def parse_text(text: str) -> str:
+    """Return the text itself, which must not be empty; the field must have a value."""
     if not text or text == NO_VALUE:
-        raise ValueError(text)
+        raise ValueError("the field has no value")
     return text
 
 
-def flag(text: str) -> bool:
-    """Return a boolean; False where there is no value."""
+def parse_flag(text: str) -> bool:
+    """Return a boolean, written as 0 or 1; False if the field has no value."""
     if text not in ("0", "1", NO_VALUE):
-        raise ValueError(text)
+        raise ValueError(f"{text!r} is neither 0 nor 1")
     return text == "1"
 
 
-def hexadecimal(text: str) -> bytes:
-    """Return bytes in hexadecimal form; no bytes where there is no value."""
+def parse_bytes(text: str) -> bytes:
+    """Return bytes, written in hexadecimal; no bytes if the field has no value."""
     return b"" if text == NO_VALUE else bytes.fromhex(text)
 
 
-def numbers(text: str) -> tuple[float, ...]:
-    """Return a list of numbers; an empty one where there is no value."""
-    return () if text in (NO_VALUE, "") else tuple(number(part) for part in text.split(","))
+def parse_numbers(text: str) -> tuple[float, ...]:
+    """Return numbers, separated by commas; none if the field is empty or has no value."""
+    return () if text in (NO_VALUE, "") else tuple(parse_number(part) for part in text.split(","))
 
 
-def result(text: str) -> AttemptResult:
-    """Return the result of an attempt."""
+def parse_attempt_result(text: str) -> AttemptResult:
+    """Return the result of an attempt; raises KeyError if it is unknown."""
     return _RESULTS[text]
 
 
-def state(text: str) -> EndpointState:
-    """Return the state of an endpoint."""
+def parse_endpoint_state(text: str) -> EndpointState:
+    """Return the state of an endpoint; raises KeyError if it is unknown."""
     return _STATES[text]
--- a/gateway/simulator/messages.py
+++ b/gateway/simulator/messages.py
@@ -1,4 +1,7 @@
-"""The messages that the simulator sends: their names, their fields, and their form as lines of text."""
+"""The messages that the simulator sends: names, fields, and the parsing of lines.
+
+A line consists of the name of a message and its fields, separated by tabs.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,17 @@
 
 from gateway.errors import GatewayError
 
-MAX_REPORTED_TEXT = 80  # length, in characters, to which the text of a line is cut in error messages
+MAX_QUOTED_CHARS = 80  # maximum length of a text from the input that is quoted in an error message
 
 _Value = TypeVar("_Value")
 
 
 class WireError(GatewayError):
-    """A line that cannot be read; the text names the message and the field."""
+    """Invalid input from the simulator; the text names the message, and the field if one is invalid."""
 
 
 class MessageName(StrEnum):
-    """The messages from the simulator; the values are the names on the wire."""
+    """The messages from the simulator; each value is the name on the wire."""
 
     BATCH_START = "SYNC"
     BATCH_END = "YOUR_TURN"
@@ -37,8 +40,9 @@
     COUNTER_REPLIED = "LEDGER_REPLY"
 
 
-_NAMES = {name.value: name for name in MessageName}
+_NAMES_BY_WIRE_NAME = {name.value: name for name in MessageName}
 
+# The fields of each message, in the order in which a line has them.
 _FIELDS: dict[MessageName, tuple[str, ...]] = {
     MessageName.BATCH_START: ("clock",),
     MessageName.BATCH_END: (),
@@ -77,48 +81,50 @@
     MessageName.COUNTER_REPLIED: ("nowAt", "result", "rttMs", "counter"),
 }
 
+# The position of each field in a line, by the wire name of the message and the name of the field.
 _POSITIONS: dict[str, dict[str, int]] = {
     name: {field: position for position, field in enumerate(fields)} for name, fields in _FIELDS.items()
 }
 _NO_FIELDS: dict[str, int] = {}
 
+# Messages whose last field, a JSON text, may contain tabs.
 _LAST_FIELD_MAY_HAVE_TABS = (MessageName.START_INSTANCE,)
 
 
 class Message:
-    """One message: its name, and its fields, which are read by their names."""
+    """One message of the simulator, whose fields are read by name."""
 
     __slots__ = ("_positions", "_texts", "name", "wire_name")
 
     def __init__(self, line: str) -> None:
-        """Split a line; `name` is None for an unknown message, `wire_name` is the name as received."""
+        """Split a line; `wire_name` is the name as received, and `name` is None if it is unknown."""
         self.wire_name, *self._texts = line.rstrip("\n").split("\t")
-        self.name = _NAMES.get(self.wire_name)
+        self.name = _NAMES_BY_WIRE_NAME.get(self.wire_name)
         self._positions = _POSITIONS.get(self.wire_name, _NO_FIELDS)
 
     def check_fields(self) -> None:
-        """Raise WireError where the number of fields is wrong; has to be called before `read`."""
-        count = len(self._positions)
-        if len(self._texts) == count:
+        """Raise WireError if the message has a wrong number of fields; must be called before `read`."""
+        expected = len(self._positions)
+        if len(self._texts) == expected:
             return
-        if self.name in _LAST_FIELD_MAY_HAVE_TABS and len(self._texts) > count:
-            self._texts[count - 1 :] = ["\t".join(self._texts[count - 1 :])]
-        if len(self._texts) != count:
-            raise WireError(f"{self.wire_name}: {len(self._texts)} fields in place of {count}")
+        if self.name in _LAST_FIELD_MAY_HAVE_TABS and len(self._texts) > expected:
+            self._texts[expected - 1 :] = ["\t".join(self._texts[expected - 1 :])]
+        if len(self._texts) != expected:
+            raise WireError(f"{self.wire_name}: expected {expected} fields, received {len(self._texts)}")
 
-    def read(self, field: str, convert: Callable[[str], _Value]) -> _Value:
-        """Return the value of a field; raises WireError where it is invalid."""
+    def read(self, field: str, parse: Callable[[str], _Value]) -> _Value:
+        """Return the value that `parse` finds in a field; raises WireError if the value is invalid."""
         text = self._texts[self._positions[field]]
         try:
-            return convert(text)
+            return parse(text)
         except (ValueError, KeyError) as error:
-            raise self.error(field, f"cannot read {text[:MAX_REPORTED_TEXT]!r}") from error
+            raise self.field_error(field, f"invalid value {text[:MAX_QUOTED_CHARS]!r}") from error
 
-    def error(self, field: str, problem: str) -> WireError:
-        """Return an error that names the message and one of its fields."""
+    def field_error(self, field: str, problem: str) -> WireError:
+        """Return an error that names the message, one of its fields, and the problem with the field."""
         return WireError(f"{self.wire_name}: field {field}: {problem}")
 
 
-def messages_of(source: Iterator[str]) -> Iterator[Message]:
-    """Return the messages in the lines of a source."""
-    return map(Message, source)
+def parse_messages(lines: Iterator[str]) -> Iterator[Message]:
+    """Return an iterator that parses each line when its message is requested."""
+    return map(Message, lines)
--- a/gateway/simulator/translation.py
+++ b/gateway/simulator/translation.py
@@ -1,4 +1,4 @@
-"""The translation of the simulator's messages into events, and of actions into lines for the simulator."""
+"""Translates the simulator's messages into events, and actions into lines for the simulator."""
 
 from __future__ import annotations
 
@@ -8,51 +8,54 @@
 from gateway.simulator import fields
 from gateway.simulator.messages import Message, MessageName
 
-_RETRY_BIT = 2  # bit of a request's state that marks a client's retry
-_SNAPSHOT_MODES = ("full", "cached")  # modes of an update that lists all endpoints
-_FAILED_MODE = "failed"  # mode of an update that failed
-_CHANGES_MODE = "delta"  # mode of an update that lists the changed endpoints
-_MODES = (*_SNAPSHOT_MODES, _FAILED_MODE, _CHANGES_MODE)
+_CLIENT_RETRY_BIT = 2  # bit of the field stateBits that is set if the client repeats an earlier request
+_SNAPSHOT_MODES = ("full", "cached")  # modes of an endpoint update that lists all endpoints
+_FAILED_MODE = "failed"  # mode of an endpoint update that failed
+_INCREMENTAL_MODE = "delta"  # mode of an endpoint update that lists only the changed endpoints
+_MODES = (*_SNAPSHOT_MODES, _FAILED_MODE, _INCREMENTAL_MODE)
 
 
 def is_event(message: Message) -> bool:
-    """Return whether a message stands for an event of an instance."""
-    return message.wire_name in _EVENTS
+    """Return whether a single message makes an event for the controller of an instance."""
+    return message.wire_name in _TRANSLATORS
 
 
 def event_from(message: Message) -> events.Event:
-    """Return the event of a message for which `is_event` holds; raises WireError for an invalid field."""
-    return _EVENTS[message.wire_name](message)
+    """Return the event that a message makes; raises WireError if a field is invalid.
+
+    `is_event` must hold for the message, and its number of fields must have been checked.
+    """
+    return _TRANSLATORS[message.wire_name](message)
 
 
 def endpoint_from(message: Message) -> events.Endpoint:
-    """Return the endpoint of an ENDPOINT message; raises WireError for an invalid field."""
+    """Return the endpoint in an ENDPOINT message; raises WireError if a field is invalid."""
     return events.Endpoint(
-        id=message.read("worker", fields.word),
+        id=message.read("worker", fields.parse_text),
         zone=message.read("zone", str),
-        cell=message.read("pod", fields.integer),
-        state=message.read("health", fields.state),
-        weight=message.read("share", fields.number),
-        started_ms=message.read("onlineSinceMs", fields.number),
+        cell=message.read("pod", fields.parse_integer),
+        state=message.read("health", fields.parse_endpoint_state),
+        weight=message.read("share", fields.parse_number),
+        started_ms=message.read("onlineSinceMs", fields.parse_number),
     )
 
 
 def update_from(mode: str, endpoints: list[events.Endpoint]) -> events.EndpointUpdate:
-    """Return the update of an ENDPOINT_UPDATE message with this mode, and of the endpoints that follow it."""
+    """Return the event for an ENDPOINT_UPDATE message with this mode and the endpoints that follow it."""
     return events.EndpointUpdate(
         tuple(endpoints), is_snapshot=mode in _SNAPSHOT_MODES, failed=mode == _FAILED_MODE
     )
 
 
-def update_mode(text: str) -> str:
-    """Return the mode of an ENDPOINT_UPDATE message; raises ValueError for an unknown one."""
+def parse_update_mode(text: str) -> str:
+    """Return the mode of an ENDPOINT_UPDATE message; raises ValueError if it is unknown."""
     if text not in _MODES:
-        raise ValueError(text)
+        raise ValueError(f"{text!r} is none of {_MODES}")
     return text
 
 
 def line_for(action: actions.Action) -> str:
-    """Return the line that asks the simulator for an action."""
+    """Return the line that tells the simulator to perform an action."""
     match action:
         case actions.SendAttempt(request_id, endpoint, timeout_ms):
             return f"HAND_OFF\t{request_id}\t{endpoint}\t{timeout_ms:.3f}"
@@ -74,73 +77,74 @@
 
 def _request_arrived(message: Message) -> events.RequestArrived:
     return events.RequestArrived(
-        id=message.read("requestId", fields.natural),
-        first_gateway=int(message.read("setFrom", fields.number)),
-        spread=int(message.read("doors", fields.number)),
-        units=message.read("sizeUnits", fields.number),
-        deadline_at_ms=message.read("dueMs", fields.number),
-        is_client_retry=bool(message.read("stateBits", fields.integer) & _RETRY_BIT),
-        customer=message.read("member", fields.word),
-        class_name=message.read("category", fields.word),
-        plan_name=message.read("gradeOfService", fields.word),
+        id=message.read("requestId", fields.parse_non_negative_integer),
+        first_gateway=int(message.read("setFrom", fields.parse_number)),
+        spread=int(message.read("doors", fields.parse_number)),
+        units=message.read("sizeUnits", fields.parse_number),
+        deadline_at_ms=message.read("dueMs", fields.parse_number),
+        is_client_retry=bool(message.read("stateBits", fields.parse_integer) & _CLIENT_RETRY_BIT),
+        customer=message.read("member", fields.parse_text),
+        class_name=message.read("category", fields.parse_text),
+        plan_name=message.read("gradeOfService", fields.parse_text),
     )
 
 
 def _response_started(message: Message) -> events.ResponseStarted:
-    request_id = message.read("requestId", fields.natural)
-    endpoint = message.read("worker", fields.word)
-    message.read("rttMs", fields.number)  # the event has no such field, but an invalid value is an error
-    attempt = message.read("roundNo", fields.natural)
+    request_id = message.read("requestId", fields.parse_non_negative_integer)
+    endpoint = message.read("worker", fields.parse_text)
+    message.read("rttMs", fields.parse_number)  # not part of the event, but an invalid value is an error
+    attempt = message.read("roundNo", fields.parse_non_negative_integer)
     return events.ResponseStarted(request_id, attempt, endpoint)
 
 
 def _attempt_ended(message: Message) -> events.AttemptEnded:
     return events.AttemptEnded(
-        id=message.read("requestId", fields.natural),
-        attempt=message.read("roundNo", fields.natural),
-        actual_units=message.read("actual", fields.number),
-        endpoint=message.read("worker", fields.word),
-        elapsed_ms=message.read("rttMs", fields.number),
-        result=message.read("result", fields.result),
-        final=message.read("final", fields.flag),
-        used_percent=message.read("quotaUse", fields.integer),
-        load=message.read("load", fields.numbers),
+        id=message.read("requestId", fields.parse_non_negative_integer),
+        attempt=message.read("roundNo", fields.parse_non_negative_integer),
+        actual_units=message.read("actual", fields.parse_number),
+        endpoint=message.read("worker", fields.parse_text),
+        elapsed_ms=message.read("rttMs", fields.parse_number),
+        result=message.read("result", fields.parse_attempt_result),
+        final=message.read("final", fields.parse_flag),
+        used_percent=message.read("quotaUse", fields.parse_integer),
+        load=message.read("load", fields.parse_numbers),
     )
 
 
 def _client_disconnected(message: Message) -> events.ClientDisconnected:
-    return events.ClientDisconnected(message.read("requestId", fields.natural))
+    return events.ClientDisconnected(message.read("requestId", fields.parse_non_negative_integer))
 
 
 def _timer_fired(message: Message) -> events.TimerFired:
-    return events.TimerFired(message.read("name", fields.word))
+    return events.TimerFired(message.read("name", fields.parse_text))
 
 
 def _health_checked(message: Message) -> events.HealthChecked:
     return events.HealthChecked(
-        endpoint=message.read("worker", fields.word),
-        elapsed_ms=message.read("rttMs", fields.number),
-        result=message.read("result", fields.result),
-        load=message.read("load", fields.numbers),
+        endpoint=message.read("worker", fields.parse_text),
+        elapsed_ms=message.read("rttMs", fields.parse_number),
+        result=message.read("result", fields.parse_attempt_result),
+        load=message.read("load", fields.parse_numbers),
     )
 
 
 def _gossip_received(message: Message) -> events.GossipReceived:
     return events.GossipReceived(
-        sender=message.read("originPeer", fields.natural),
-        data=message.read("data", fields.hexadecimal),
+        sender=message.read("originPeer", fields.parse_non_negative_integer),
+        data=message.read("data", fields.parse_bytes),
     )
 
 
 def _counter_replied(message: Message) -> events.CounterReplied:
-    # The event has only the name, but an invalid value of another field is an error.
-    message.read("nowAt", fields.number)
-    message.read("result", fields.result)
-    message.read("rttMs", fields.number)
-    return events.CounterReplied(message.read("counter", fields.word))
+    # Only the counter's name is part of the event, but an invalid value of another field is an error.
+    message.read("nowAt", fields.parse_number)
+    message.read("result", fields.parse_attempt_result)
+    message.read("rttMs", fields.parse_number)
+    return events.CounterReplied(message.read("counter", fields.parse_text))
 
 
-_EVENTS: dict[str, Callable[[Message], events.Event]] = {
+# The function that translates each message that makes an event, by the wire name of the message.
+_TRANSLATORS: dict[str, Callable[[Message], events.Event]] = {
     MessageName.REQUEST_ARRIVED: _request_arrived,
     MessageName.RESPONSE_STARTED: _response_started,
     MessageName.ATTEMPT_ENDED: _attempt_ended,
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter to the simulator's wire."""
+"""Tests of the adapter to the simulator, run as a process on standard input and output."""
 
 import io
 import json
@@ -28,19 +28,19 @@
 
 
 def start_lines(settings=SETTINGS):
-    """Return the lines that configure one gateway with one endpoint."""
+    """Return a batch that starts instance 0 with these settings and one endpoint."""
     return f"SYNC\t1000\nSWITCH_TO\t0\nCONFIGURE\t7\t{json.dumps(settings)}\n{FLEET_LINES}YOUR_TURN\n"
 
 
 def simulate(text):
-    """Run the adapter as the deploy file says, with this input."""
+    """Run the adapter with the command of the deploy file and this input, and return the ended process."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     assert command == "exec .venv/bin/python -m gateway.simulator"
     command = command.replace(".venv/bin/python", sys.executable)
     return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True, capture_output=True)
 
 
-def test_request_is_sent_and_end_of_input_exits_0():
+def test_request_is_forwarded_and_end_of_input_exits_with_0():
     process = simulate(
         "SYNC\t900\nYOUR_TURN\n" + start_lines() + "SYNC\t1004\nSWITCH_TO\t0\n"
         "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
@@ -65,7 +65,7 @@
         ("WORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("WORKER", "place")),
     ],
 )
-def test_unreadable_line_is_reported_and_ends_the_process(line, names):
+def test_invalid_line_is_reported_by_message_and_field_and_ends_the_process(line, names):
     process = simulate(start_lines() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
     assert process.returncode != 0 and "Traceback" not in process.stderr
     assert all(name in process.stderr for name in names)
@@ -77,12 +77,12 @@
 
 
 def settings_with(path, value):
-    """Return the settings with the value at a path replaced, or removed by None."""
+    """Return SETTINGS with the value at a path replaced, or removed if the new value is None."""
     settings = json.loads(json.dumps(SETTINGS))
     *parents, key = path
     parent = settings
-    for step in parents:
-        parent = parent[step]
+    for parent_key in parents:
+        parent = parent[parent_key]
     if value is None:
         del parent[key]
     else:
@@ -117,8 +117,8 @@
     assert output.read() == "FROM\t0\nBUG\tinstance 0: ZeroDivisionError: division by zero\nFINISHED\n"
 
 
-def lines_of_instances(*numbers):
-    """Return the lines of a day of some of the gateways."""
+def instance_lines(*numbers):
+    """Return batches in which the instances with these numbers start, and handle a request in each turn."""
     text = "SYNC\t1000\n"
     for n in numbers:
         settings = json.dumps(dict(SETTINGS, myNumber=n))
@@ -133,16 +133,16 @@
     return text
 
 
-def replies_to_instances(*numbers):
-    """Return the replies of each turn, split by gateway."""
-    output = simulate(lines_of_instances(*numbers)).stdout
+def instance_replies(*numbers):
+    """Return the replies to each batch, split by instance."""
+    output = simulate(instance_lines(*numbers)).stdout
     return [reply.split("FROM\t") for reply in output.split("FINISHED\n")]
 
 
-def test_instances_act_alike_in_one_process_and_in_two():
-    both = replies_to_instances(0, 1)
-    first = replies_to_instances(0)
-    second = replies_to_instances(1)
+def test_instances_reply_the_same_in_one_process_and_in_separate_processes():
+    both = instance_replies(0, 1)
+    first = instance_replies(0)
+    second = instance_replies(1)
     assert sum(len(reply) for reply in both) > 100
-    for together, one, two in zip(both, first, second, strict=True):
-        assert together[1:] == one[1:] + two[1:]
+    for reply_of_both, reply_of_first, reply_of_second in zip(both, first, second, strict=True):
+        assert reply_of_both[1:] == reply_of_first[1:] + reply_of_second[1:]
--- a/tests/simulator/test_messages.py
+++ b/tests/simulator/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the messages of the simulator, their fields and their translation."""
+"""Tests of the parsing of the simulator's messages and of their translation."""
 
 import math
 
@@ -8,10 +8,10 @@
 from gateway.interface.events import AttemptResult, EndpointState
 from gateway.simulator import fields
 from gateway.simulator.messages import Message, MessageName, WireError
-from gateway.simulator.translation import endpoint_from, event_from, line_for, update_from, update_mode
+from gateway.simulator.translation import endpoint_from, event_from, line_for, parse_update_mode, update_from
 
 
-def message(text):
+def parse_message(text):
     parsed = Message(text)
     parsed.check_fields()
     return parsed
@@ -26,74 +26,74 @@
         ("\n", None, ""),
     ],
 )
-def test_line_starts_with_the_name_of_its_message(line, name, wire_name):
+def test_line_is_parsed_to_a_message_with_its_name(line, name, wire_name):
     parsed = Message(line)
     assert (parsed.name, parsed.wire_name) == (name, wire_name)
 
 
 @pytest.mark.parametrize("line", ["SYNC", "SYNC\t1\t2", "KILL\t1", "CONFIGURE\t1"])
-def test_message_with_a_wrong_number_of_fields_is_an_error(line):
-    with pytest.raises(WireError, match=r"^\w+: \d fields in place of \d$"):
-        message(line)
+def test_message_with_a_wrong_number_of_fields_is_rejected(line):
+    with pytest.raises(WireError, match=r"^\w+: expected \d fields, received \d$"):
+        parse_message(line)
 
 
-def test_last_field_of_the_configuration_may_have_tabs():
-    assert message('CONFIGURE\t7\t{\t"a":\t1}').read("info", str) == '{\t"a":\t1}'
+def test_last_field_of_a_configure_message_may_contain_tabs():
+    assert parse_message('CONFIGURE\t7\t{\t"a":\t1}').read("info", str) == '{\t"a":\t1}'
 
 
 def test_invalid_field_is_reported_with_the_message_and_the_start_of_the_text():
-    with pytest.raises(WireError, match=r"^SYNC: field clock: cannot read '9{79}x'$"):
-        message("SYNC\t" + "9" * 79 + "x" * 20).read("clock", fields.number)
+    with pytest.raises(WireError, match=r"^SYNC: field clock: invalid value '9{79}x'$"):
+        parse_message("SYNC\t" + "9" * 79 + "x" * 20).read("clock", fields.parse_number)
 
 
 @pytest.mark.parametrize(
-    ("convert", "text", "value"),
+    ("parse", "text", "value"),
     [
-        (fields.number, "-", 0.0),
-        (fields.number, "-2.5", -2.5),
-        (fields.integer, "-", 0),
-        (fields.integer, "-3", -3),
-        (fields.natural, "0", 0),
-        (fields.word, "w:1", "w:1"),
-        (fields.flag, "1", True),
-        (fields.flag, "0", False),
-        (fields.flag, "-", False),
-        (fields.hexadecimal, "-", b""),
-        (fields.hexadecimal, "00ff", b"\x00\xff"),
-        (fields.numbers, "-", ()),
-        (fields.numbers, "", ()),
-        (fields.numbers, "1,-,2.5", (1.0, 0.0, 2.5)),
-        (fields.result, "moot", AttemptResult.NOT_SENT),
-        (fields.result, "full", AttemptResult.OVERLOADED),
-        (fields.state, "Stopping", EndpointState.DRAINING),
+        (fields.parse_number, "-", 0.0),
+        (fields.parse_number, "-2.5", -2.5),
+        (fields.parse_integer, "-", 0),
+        (fields.parse_integer, "-3", -3),
+        (fields.parse_non_negative_integer, "0", 0),
+        (fields.parse_text, "w:1", "w:1"),
+        (fields.parse_flag, "1", True),
+        (fields.parse_flag, "0", False),
+        (fields.parse_flag, "-", False),
+        (fields.parse_bytes, "-", b""),
+        (fields.parse_bytes, "00ff", b"\x00\xff"),
+        (fields.parse_numbers, "-", ()),
+        (fields.parse_numbers, "", ()),
+        (fields.parse_numbers, "1,-,2.5", (1.0, 0.0, 2.5)),
+        (fields.parse_attempt_result, "moot", AttemptResult.NOT_SENT),
+        (fields.parse_attempt_result, "full", AttemptResult.OVERLOADED),
+        (fields.parse_endpoint_state, "Stopping", EndpointState.DRAINING),
     ],
 )
-def test_valid_field_is_converted(convert, text, value):
-    assert convert(text) == value
+def test_valid_field_is_parsed(parse, text, value):
+    assert parse(text) == value
 
 
 @pytest.mark.parametrize(
-    ("convert", "text"),
+    ("parse", "text"),
     [
-        (fields.number, "inf"),
-        (fields.number, "nan"),
-        (fields.number, ""),
-        (fields.integer, "1.5"),
-        (fields.natural, "-1"),
-        (fields.natural, "-"),
-        (fields.word, "-"),
-        (fields.word, ""),
-        (fields.flag, "2"),
-        (fields.hexadecimal, "xyz"),
-        (fields.numbers, "1,"),
-        (fields.result, "great"),
-        (fields.state, "Sleeping"),
-        (update_mode, "some"),
+        (fields.parse_number, "inf"),
+        (fields.parse_number, "nan"),
+        (fields.parse_number, ""),
+        (fields.parse_integer, "1.5"),
+        (fields.parse_non_negative_integer, "-1"),
+        (fields.parse_non_negative_integer, "-"),
+        (fields.parse_text, "-"),
+        (fields.parse_text, ""),
+        (fields.parse_flag, "2"),
+        (fields.parse_bytes, "xyz"),
+        (fields.parse_numbers, "1,"),
+        (fields.parse_attempt_result, "great"),
+        (fields.parse_endpoint_state, "Sleeping"),
+        (parse_update_mode, "some"),
     ],
 )
-def test_invalid_field_is_an_error(convert, text):
+def test_invalid_field_is_rejected(parse, text):
     with pytest.raises((ValueError, KeyError)):
-        convert(text)
+        parse(text)
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
     ],
 )
 def test_message_is_translated_into_its_event(line, event):
-    assert event_from(message(line)) == event
+    assert event_from(parse_message(line)) == event
 
 
 @pytest.mark.parametrize(
@@ -128,13 +128,13 @@
         "LEDGER_REPLY\t7\tok\tsoon\tname",
     ],
 )
-def test_invalid_field_that_no_event_has_is_an_error(line):
+def test_invalid_field_that_is_not_part_of_the_event_is_rejected(line):
     with pytest.raises(WireError):
-        event_from(message(line))
+        event_from(parse_message(line))
 
 
-def test_endpoint_is_translated():
-    endpoint = endpoint_from(message("WORKER\tw:1\ta\tkind\t3\tRunning\t0.5\t100"))
+def test_worker_message_is_translated_into_an_endpoint():
+    endpoint = endpoint_from(parse_message("WORKER\tw:1\ta\tkind\t3\tRunning\t0.5\t100"))
     assert endpoint == events.Endpoint("w:1", "a", 3, EndpointState.READY, 0.5, 100.0)
 
 
@@ -142,8 +142,8 @@
     ("mode", "is_snapshot", "failed"),
     [("full", True, False), ("cached", True, False), ("delta", False, False), ("failed", False, True)],
 )
-def test_update_is_translated_by_its_mode(mode, is_snapshot, failed):
-    assert update_from(update_mode(mode), []) == events.EndpointUpdate((), is_snapshot, failed)
+def test_fleet_message_is_translated_by_its_mode(mode, is_snapshot, failed):
+    assert update_from(parse_update_mode(mode), []) == events.EndpointUpdate((), is_snapshot, failed)
 
 
 @pytest.mark.parametrize(
