--- a/gateway/network/admin/endpoint.py
+++ b/gateway/network/admin/endpoint.py
@@ -1,4 +1,4 @@
-"""The admin endpoint: an HTTP server for operators at an address of its own, one request per connection."""
+"""The admin endpoint: an HTTP server for operators on a separate address, with one request per connection."""
 
 from __future__ import annotations
 
@@ -12,21 +12,24 @@
 from gateway.network.admin.metrics import CONTENT_TYPE
 from gateway.network.clock import Clock, Timers
 
-# Maximum number of connections: neither clients nor endpoints can use these descriptors.
+# Maximum number of connections to the admin endpoint. Their descriptors are reserved out of the descriptor
+# limit, and are not available to clients and endpoints.
 MAX_ADMIN_CONNECTIONS = 8
 
-# Request timeout, ms: bounds the time from the connection to the end of its request.
+# Maximum time in milliseconds from accepting a connection to the end of its request, after which the response
+# is 408 (Request Timeout).
 REQUEST_TIMEOUT_MS = 2000.0
 
-# Linger timeout, ms: how long input is read and discarded after the response, as a reset would discard it.
+# Time in milliseconds for which input is read and discarded after the response. Closing the connection with
+# unread input would send a reset, and the caller could lose the response.
 LINGER_TIMEOUT_MS = 500.0
 
-# Maximum request size, bytes.
+# Maximum size of a request in bytes, headers and body included.
 MAX_REQUEST_BYTES = 16 * 1024
 
 PLAIN_TEXT = b"text/plain"
 
-REASONS = {
+REASON_PHRASES = {
     HTTPStatus.OK: b"OK",
     HTTPStatus.BAD_REQUEST: b"Bad Request",
     HTTPStatus.NOT_FOUND: b"Not Found",
@@ -38,7 +41,7 @@
 
 
 class MonitoredGateway(Protocol):
-    """The gateway, as the admin endpoint needs it."""
+    """The parts of a gateway that the admin endpoint uses."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
@@ -46,28 +49,28 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this process serves."""
+        """Whether this process serves and has not handed over to a successor."""
 
     def metrics_text(self) -> bytes:
-        """Return the metrics in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """The response to one request."""
+    """The status, body and content type of one response."""
 
     status: HTTPStatus
     body: bytes = b""
     content_type: bytes = PLAIN_TEXT
 
     def encode(self) -> bytes:
-        """Return the bytes of the response."""
+        """Return the bytes of the response, which announces that the connection closes."""
         allow = b"Allow: GET\r\n" if self.status is HTTPStatus.METHOD_NOT_ALLOWED else b""
         return (
             b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\n%sContent-Length: %d\r\nConnection: close\r\n\r\n%s"
         ) % (
             self.status,
-            REASONS[self.status],
+            REASON_PHRASES[self.status],
             self.content_type,
             allow,
             len(self.body),
@@ -76,45 +79,48 @@
 
 
 class AdminEndpoint:
-    """The paths that operators can request, and the connections of the admin endpoint."""
+    """Routes the requests of operators, and limits the number of open connections."""
 
     def __init__(self, gateway: MonitoredGateway) -> None:
-        """Report on this gateway; nothing is opened yet."""
+        """Report on `gateway`; listen nowhere yet."""
         self.gateway = gateway
-        self.connections: dict[AdminConnection, None] = {}  # in the order of their arrival
-        self._paths = {"/_ready": self._ready, "/_vars": self._vars}
+        self.connections: dict[AdminConnection, None] = {}  # the open connections, oldest first
+        self._handlers = {"/_ready": self._ready, "/_vars": self._vars}
         self._server: asyncio.Server | None = None
 
     async def open(self, address: tuple[str, int] | None) -> None:
-        """Listen at the address, if there is one; raises OSError if it cannot be used."""
+        """Listen on the address, unless it is None; raises OSError if it cannot be used."""
         if address is not None:
             self._server = await self.gateway.loop.create_server(lambda: AdminConnection(self), *address)
 
     def close(self) -> None:
-        """Stop listening and close all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
-            connection.drop()
+            connection.abort()
 
     def respond(self, method: bytes, path: str) -> AdminResponse:
-        """Return the response to a request."""
-        handler = self._paths.get(path)
+        """Return the response to a request: 404 for an unknown path, 405 for another method than GET."""
+        handler = self._handlers.get(path)
         if handler is None:
             return AdminResponse(HTTPStatus.NOT_FOUND, b"no such call\n")
         if method != b"GET":
             return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, b"the call is a GET\n")
         return handler()
 
-    def on_connected(self, connection: AdminConnection) -> None:
-        """Add a connection; above the limit, close those that have their response first, then the oldest."""
+    def add_connection(self, connection: AdminConnection) -> None:
+        """Add a connection.
+
+        If MAX_ADMIN_CONNECTIONS are open, aborts the oldest answered connection, or else the oldest one.
+        """
         while len(self.connections) >= MAX_ADMIN_CONNECTIONS:
-            answered = (one for one in self.connections if one.is_answered)
-            next(answered, next(iter(self.connections))).drop()
+            answered = (candidate for candidate in self.connections if candidate.is_answered)
+            next(answered, next(iter(self.connections))).abort()
         self.connections[connection] = None
 
-    def on_disconnected(self, connection: AdminConnection) -> None:
-        """Remove a connection that has ended or is being closed."""
+    def remove_connection(self, connection: AdminConnection) -> None:
+        """Remove a closed or aborted connection; do nothing if it has been removed already."""
         self.connections.pop(connection, None)
 
     def _ready(self) -> AdminResponse:
@@ -127,11 +133,11 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection of the admin endpoint; it gets one response."""
+    """A connection to the admin endpoint, which is closed after one response."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
-        """Answer by this endpoint's paths."""
-        self.is_answered = False
+        """Let `endpoint` compute the response to the request."""
+        self.is_answered = False  # whether the response has been written, or the connection has ended
         self._endpoint = endpoint
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -141,9 +147,9 @@
     # -- the transport's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Enter the connection and start the request timeout."""
+        """Register the connection with the endpoint and start the request timeout."""
         self._transport = cast(asyncio.Transport, transport)
-        self._endpoint.on_connected(self)
+        self._endpoint.add_connection(self)
         gateway = self._endpoint.gateway
         gateway.timers.at(
             gateway.clock.now() + REQUEST_TIMEOUT_MS,
@@ -151,7 +157,7 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the request; what follows the request is discarded."""
+        """Parse a part of the request; input after the response is discarded."""
         if self.is_answered:
             return
         self._received_bytes += len(data)
@@ -163,22 +169,25 @@
             self._respond(AdminResponse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE))
 
     def eof_received(self) -> None:
-        """Let the transport close: an incomplete request is not going to be completed."""
+        """Return None, so that the transport closes: the rest of an incomplete request cannot arrive."""
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Release the parser, which would keep this connection alive until a garbage collection."""
+        """Unregister the connection, and release the parser.
+
+        The parser refers back to this connection; the cycle would stay in memory until a garbage collection.
+        """
         self._parser = None
         self.is_answered = True
-        self._endpoint.on_disconnected(self)
+        self._endpoint.remove_connection(self)
 
     # -- the parser's callbacks
 
     def on_url(self, url: bytes) -> None:
-        """Append a part of the target."""
+        """Append a part of the request target, which may arrive in several."""
         self._url += url
 
     def on_message_complete(self) -> None:
-        """Respond to the request."""
+        """Respond to the complete request, or with 400 if its target cannot be parsed."""
         try:
             path = httptools.parse_url(self._url).path or b""
         except httptools.HttpParserInvalidURLError:
@@ -188,14 +197,17 @@
 
     # -- the response
 
-    def drop(self) -> None:
-        """Close the connection at once."""
-        self._endpoint.on_disconnected(self)
+    def abort(self) -> None:
+        """Close the connection at once, discarding a response that has not been sent completely."""
+        self._endpoint.remove_connection(self)
         if self._transport is not None:
             self._transport.abort()
 
     def _respond(self, response: AdminResponse) -> None:
-        """Write the response, unless there was one, and close the connection after the linger timeout."""
+        """Write the response, and abort the connection after LINGER_TIMEOUT_MS.
+
+        Does nothing if a response has been written, or if the connection is closing.
+        """
         transport = self._transport
         if self.is_answered or transport is None or transport.is_closing():
             return
@@ -203,4 +215,4 @@
         transport.write(response.encode())
         transport.write_eof()
         gateway = self._endpoint.gateway
-        gateway.timers.at(gateway.clock.now() + LINGER_TIMEOUT_MS, self.drop)
+        gateway.timers.at(gateway.clock.now() + LINGER_TIMEOUT_MS, self.abort)
--- a/gateway/network/admin/metrics.py
+++ b/gateway/network/admin/metrics.py
@@ -1,19 +1,22 @@
-"""The metrics of a gateway in Prometheus' text format; their names and texts are the operators'."""
+"""The metrics of a gateway in the Prometheus text format.
+
+The names, labels and help texts of the metrics are used by operators and must not change.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from enum import Enum
 
-# Prefix of all names.
-PREFIX = "edge_balancer"
+# Prefix of the names of all metrics.
+NAME_PREFIX = "edge_balancer"
 
-# Content type of the text format.
+# Content type of the Prometheus text format.
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class FinalStatus(Enum):
-    """How a request ended; the values are labels of a metric."""
+    """How a request ended; the values are those of the label `status`."""
 
     FULFILLED = "fulfilled"
     THROTTLED = "throttled"
@@ -21,43 +24,46 @@
 
 
 class Metrics:
-    """The counters, which begin at 0 with the process; gauges are passed in when the text is made."""
+    """The counters, which start at 0 with the process. The values of the gauges are passed to `text`."""
 
     def __init__(self, class_names: Iterable[str]) -> None:
-        """Count the requests of these classes."""
+        """Create the counters for requests of the classes `class_names`."""
+        # Number of requests with a final answer, by class and final status.
         self.operations = {(name, status): 0 for name in class_names for status in FinalStatus}
-        self.forwarded_attempts = 0  # attempts written completely to endpoints
+        self.forwarded_attempts = 0  # number of attempts written completely to an endpoint
 
     def on_final_answer(self, class_name: str, status: FinalStatus) -> None:
-        """Count a request that has had its final answer."""
+        """Count a request of the class that got its final answer."""
         self.operations[class_name, status] += 1
 
     def text(self, *, open_requests: int, registry_entries: int, out_of_rotation: int) -> bytes:
-        """Return all metrics, with these values of the gauges."""
-        name = f"{PREFIX}_operations_total"
+        """Return all metrics in the text format; the arguments are the current values of the gauges."""
+        name = f"{NAME_PREFIX}_operations_total"
         lines = [
             f"# HELP {name} Requests answered: served, refused or failed.",
             f"# TYPE {name} counter",
             *(
-                f'{name}{{priority="{escape(class_name)}",status="{status.value}"}} {count}'
+                f'{name}{{priority="{escape_label_value(class_name)}",status="{status.value}"}} {count}'
                 for (class_name, status), count in self.operations.items()
             ),
-            *_single(
+            *_metric_lines(
                 "relayed_total", "counter", "Attempts written whole to workers.", self.forwarded_attempts
             ),
-            *_single("open_requests", "gauge", "Requests taken and not ended.", open_requests),
-            *_single("registry_entries", "gauge", "Workers in discovery's list.", registry_entries),
-            *_single("out_of_rotation", "gauge", "Listed workers that get nothing now.", out_of_rotation),
+            *_metric_lines("open_requests", "gauge", "Requests taken and not ended.", open_requests),
+            *_metric_lines("registry_entries", "gauge", "Workers in discovery's list.", registry_entries),
+            *_metric_lines(
+                "out_of_rotation", "gauge", "Listed workers that get nothing now.", out_of_rotation
+            ),
             "",
         ]
         return "\n".join(lines).encode()
 
 
-def escape(label: str) -> str:
-    """Return a label's value, escaped for the text format."""
-    return label.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
+def escape_label_value(value: str) -> str:
+    """Return the value of a label, escaped for the text format."""
+    return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
-def _single(suffix: str, kind: str, help_text: str, value: int) -> list[str]:
-    name = f"{PREFIX}_{suffix}"
-    return [f"# HELP {name} {help_text}", f"# TYPE {name} {kind}", f"{name} {value}"]
+def _metric_lines(suffix: str, metric_type: str, help_text: str, value: int) -> list[str]:
+    name = f"{NAME_PREFIX}_{suffix}"
+    return [f"# HELP {name} {help_text}", f"# TYPE {name} {metric_type}", f"{name} {value}"]
--- a/tests/network/admin/test_endpoint.py
+++ b/tests/network/admin/test_endpoint.py
@@ -26,7 +26,7 @@
         (b"GET /_ready HTTP/1.1\r\nA: " + bytes(20_000).replace(b"\0", b"a"), 431),
     ],
 )
-async def test_admin_calls_get_their_status(data, status, running_gateway):
+async def test_admin_request_gets_the_expected_status(data, status, running_gateway):
     assert (await admin_call(running_gateway, data))[0] == status
 
 
@@ -35,22 +35,22 @@
     assert (await admin_call(running_gateway, b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"))[0] == 503
 
 
-async def read_to_end(client):
+async def read_until_closed(client):
     try:
         return await client.reader.read()
     except ConnectionError:
         return b""
 
 
-async def test_silent_callers_are_closed_and_exclude_nobody(monkeypatch, running_gateway):
+async def test_incomplete_requests_time_out_without_blocking_other_callers(monkeypatch, running_gateway):
     monkeypatch.setattr(admin_endpoint, "REQUEST_TIMEOUT_MS", 200.0)
-    max_callers = admin_endpoint.MAX_ADMIN_CONNECTIONS
-    callers = [await TestClient().connect(running_gateway.admin_port) for _ in range(3 * max_callers)]
+    max_connections = admin_endpoint.MAX_ADMIN_CONNECTIONS
+    callers = [await TestClient().connect(running_gateway.admin_port) for _ in range(3 * max_connections)]
     for caller in callers:
         caller.send(b"GET /_ready HT")
     assert await read_metrics(running_gateway)
-    assert len(running_gateway.admin.connections) <= max_callers
-    responses = [await read_to_end(caller) for caller in callers]
+    assert len(running_gateway.admin.connections) <= max_connections
+    responses = [await read_until_closed(caller) for caller in callers]
     assert all(text == b"" or b" 408 " in text for text in responses) and any(responses)
 
 
@@ -65,6 +65,6 @@
 @pytest.mark.parametrize("sockets", [96, 192, 256, 1024])
 async def test_descriptors_for_the_admin_endpoint_are_reserved(sockets):
     gateway = RunningGateway(ScriptedController(), limits={"sockets": sockets}).gateway
-    rest = sockets - gateway.connections.max_admitted - gateway.upstreams.max_connections
-    assert rest >= RESERVED_DESCRIPTORS >= 17 + 2 + admin_endpoint.MAX_ADMIN_CONNECTIONS + 3
+    remaining_descriptors = sockets - gateway.connections.max_admitted - gateway.upstreams.max_connections
+    assert remaining_descriptors >= RESERVED_DESCRIPTORS >= 17 + 2 + admin_endpoint.MAX_ADMIN_CONNECTIONS + 3
     assert sockets < 256 or gateway.connections.max_admitted == int(0.46 * sockets)
--- a/tests/network/admin/test_metrics.py
+++ b/tests/network/admin/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics."""
+"""Tests of the metrics in a running gateway."""
 
 import asyncio
 
@@ -27,23 +27,23 @@
 
 
 class MixedController(ScriptedController):
-    """Forwards the first of every three requests, rejects the second and fails the third."""
+    """Forwards, fails or rejects a request if its id modulo 3 is 0, 1 or 2."""
 
     def handle(self, now, events):
-        own = [event for event in events if isinstance(event, RequestArrived) and event.id % 3]
-        actions = [Reject(event.id) if event.id % 3 == 2 else Fail(event.id) for event in own]
+        refused = [event for event in events if isinstance(event, RequestArrived) and event.id % 3]
+        actions = [Reject(event.id) if event.id % 3 == 2 else Fail(event.id) for event in refused]
         return actions + super().handle(
-            now, [one for one in events if not isinstance(one, RequestArrived) or one.id % 3 == 0]
+            now, [event for event in events if not isinstance(event, RequestArrived) or event.id % 3 == 0]
         )
 
 
-def total(metrics, label):
-    """Return the sum of the metrics with this label."""
+def sum_with_label(metrics, label):
+    """Return the sum of the metrics whose names contain this label."""
     return sum(value for name, value in metrics.items() if label in name)
 
 
 @pytest.mark.scripted_controller(factory=MixedController)
-async def test_each_request_is_counted_once(endpoint, running_gateway, client):
+async def test_each_request_is_counted_once_by_its_final_status(endpoint, running_gateway, client):
     for number in range(1, 31):
         client.send(http_request(path="/book/1", key="k") if number % 2 else http_request())
         if number % 3 == 0:
@@ -51,11 +51,11 @@
             assert (await read_metrics(running_gateway))["open_requests"] == 1
             writer.write(http_response(200 if number % 9 else 500))
         await client.next_response()
-    client.send(b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n")  # rejected before it counts as an operation
+    client.send(b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n")  # rejected as invalid, which no metric counts
     assert (await client.next_response()).status == 404
     metrics = await read_metrics(running_gateway)
     outcomes = ("fulfilled", "throttled", "faulted")
-    totals = {outcome: total(metrics, f'status="{outcome}"') for outcome in outcomes}
+    totals = {outcome: sum_with_label(metrics, f'status="{outcome}"') for outcome in outcomes}
     assert totals == {"fulfilled": 7, "throttled": 10, "faulted": 13}
-    assert total(metrics, 'priority="book"') == 15
+    assert sum_with_label(metrics, 'priority="book"') == 15
     assert metrics["relayed_total"] == 10 and metrics["open_requests"] == 0
