--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""The program: `python -m gateway`, configured by the environment and the file that it names.
+"""The entry point `python -m gateway`, configured by environment variables and a configuration file.
 
 Exit codes: 0 after a graceful shutdown, 1 if an address cannot be used, 2 if the configuration is invalid.
 """
@@ -18,13 +18,14 @@
 from gateway.process import serve
 
 EXIT_OK = 0
-EXIT_ADDRESS = 1
-EXIT_CONFIG = 2
+EXIT_ADDRESS_ERROR = 1
+EXIT_CONFIG_ERROR = 2
 
 
 def configure_logging() -> None:
-    """Log to standard error, without blocking when its reader stalls."""
-    # If standard error is closed, its descriptor's number may belong to a client's socket by now.
+    """Send log records of level INFO and above to standard error, without blocking when its reader stalls."""
+    # sys.stderr is None if the process was started with standard error closed. Nothing is logged then,
+    # because descriptor 2 may be reused, for example for a client's socket.
     handler = logging.NullHandler() if sys.stderr is None else NonBlockingHandler(sys.stderr.fileno())
     logging.basicConfig(
         handlers=[handler], level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
@@ -32,20 +33,21 @@
 
 
 def main() -> int:
-    """Run one gateway until a signal ends it; return the exit code."""
+    """Run one gateway process until a signal stops it, and return the exit code."""
     configure_logging()
-    # Ignored until the process handles it, as the configuration is about to be read anyway.
+    # A SIGHUP before its handler is installed would end the process. It can be ignored, because the
+    # configuration is about to be read anyway.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load(os.environ)
     except ConfigError as error:
         print(f"gateway: {error}", file=sys.stderr)
-        return EXIT_CONFIG
+        return EXIT_CONFIG_ERROR
     try:
         uvloop.run(serve(config))
     except OSError as error:
         print(f"gateway: {error}", file=sys.stderr)
-        return EXIT_ADDRESS
+        return EXIT_ADDRESS_ERROR
     return EXIT_OK
 
 
--- a/gateway/errors.py
+++ b/gateway/errors.py
@@ -1,33 +1,33 @@
-"""The errors that this program raises itself, in one small hierarchy."""
+"""The base class of the gateway's exceptions, and the exceptions that several packages use."""
 
 from __future__ import annotations
 
 
 class GatewayError(Exception):
-    """Base of all errors that the gateway raises on purpose."""
+    """The base class of all exceptions that the gateway defines."""
 
 
 class SettingsError(GatewayError, ValueError):
-    """An invalid setting; the text names the setting and its problem."""
+    """An invalid setting; the message names the setting and the problem."""
 
     def __init__(self, path: str, problem: str) -> None:
-        """`path` leads to the setting, as in `config.settings.classes[0].aimMs`."""
+        """`path` locates the setting, for example `config.settings.classes[0].aimMs`."""
         super().__init__(f"{path}: {problem}")
         self.path = path
 
 
 class ConfigError(GatewayError):
-    """An unusable configuration; the text names the problem."""
+    """A configuration that is missing, unreadable or invalid; the message names the problem."""
 
 
 class BadRequestError(GatewayError, ValueError):
-    """A request that is rejected as malformed; the text names the part at fault."""
+    """A client's request that is rejected as invalid; the message names the invalid part."""
 
-    def __init__(self, text: str, status: int = 400) -> None:
-        """`status` is the status code of the response."""
-        super().__init__(text)
+    def __init__(self, message: str, status: int = 400) -> None:
+        """`status` is the HTTP status code of the response."""
+        super().__init__(message)
         self.status = status
 
 
 class HandoverError(GatewayError):
-    """A predecessor's state that cannot be taken over; the text names the cause."""
+    """A failed restoration of the predecessor's state; the message names the cause."""
--- a/gateway/network/bound_socket.py
+++ b/gateway/network/bound_socket.py
@@ -1,4 +1,4 @@
-"""Sockets that are bound to one of the gateway's addresses."""
+"""The binding of sockets to the gateway's addresses."""
 
 from __future__ import annotations
 
@@ -7,18 +7,20 @@
 from gateway.config import Address
 
 
-def bind_socket(kind: socket.SocketKind, address: Address, *, is_shared: bool) -> socket.socket:
-    """Return a non-blocking socket bound to an address, which another process may share.
+def bind_socket(socket_type: socket.SocketKind, address: Address, *, reuse_port: bool) -> socket.socket:
+    """Return a non-blocking IPv4 socket that is bound to the address.
 
+    With `reuse_port`, sockets of other processes may be bound to the same address (SO_REUSEPORT).
     Raises OSError if the address cannot be used.
     """
-    sock = socket.socket(socket.AF_INET, kind)
+    sock = socket.socket(socket.AF_INET, socket_type)
     try:
         sock.setblocking(False)
-        # For datagrams, SO_REUSEADDR would let any other process of this machine receive them.
-        if kind is socket.SOCK_STREAM:
+        # Not set on a datagram socket: SO_REUSEADDR would let any other process on this machine bind the same
+        # address and receive the datagrams.
+        if socket_type is socket.SOCK_STREAM:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if is_shared:
+        if reuse_port:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(address)
     except OSError:
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways."""
+"""The UDP socket for gossip datagrams between gateways."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 from gateway.gossip.codec import MAX_BYTES
 from gateway.network.bound_socket import bind_socket
 
-# Receiver of a datagram to all peers, in place of a gateway's number.
+# Receiver number that stands for all peers; the datagram goes to the configured address of all peers.
 ALL_PEERS = -1
 
 log = logging.getLogger(__name__)
 
 
 class GossipSocket:
-    """Exchanges datagrams with other gateways, which are identified by their addresses.
+    """Exchanges datagrams with the other gateways of the fleet, which are identified by their addresses.
 
-    It is a plain socket: the event loop's datagram transport needs several times the CPU for each datagram.
+    A plain socket is used because the event loop's datagram transport takes several times the CPU time for
+    each datagram.
     """
 
-    def __init__(self, config: Config, on_message: Callable[[int, bytes], None]) -> None:
-        """Pass the datagrams of other gateways to `on_message`, with the sender's number."""
+    def __init__(self, config: Config, on_datagram: Callable[[int, bytes], None]) -> None:
+        """Open nothing yet; `on_datagram` is called with the sender's gateway number and each datagram."""
         self._config = config
-        self._on_message = on_message
-        self._numbers = {
+        self._on_datagram = on_datagram
+        self._numbers_by_address = {
             address: number for number, address in enumerate(config.peers) if number != config.settings.number
         }
         self._loop: asyncio.AbstractEventLoop | None = None
@@ -36,34 +37,37 @@
 
     @property
     def sock(self) -> socket.socket | None:
-        """The socket, if it is open."""
+        """The open socket, or None."""
         return self._socket
 
-    def open(self, loop: asyncio.AbstractEventLoop, handed_over: socket.socket | None = None) -> None:
-        """Listen on the predecessor's socket, or on a new one; do nothing if no address is configured.
+    def open(self, loop: asyncio.AbstractEventLoop, inherited: socket.socket | None = None) -> None:
+        """Receive datagrams on the socket inherited from the predecessor, or on a new one.
 
-        Raises OSError if the address cannot be used.
+        Does nothing if no address is configured. Raises OSError if the address cannot be used.
         """
         if self._config.peer_listen is None:
             return
         self._loop = loop
-        self._socket = handed_over or bind_socket(
-            socket.SOCK_DGRAM, self._config.peer_listen, is_shared=self._config.shares_addresses
+        self._socket = inherited or bind_socket(
+            socket.SOCK_DGRAM, self._config.peer_listen, reuse_port=self._config.shares_addresses
         )
         self.start_receiving()
 
     def start_receiving(self) -> None:
-        """Receive datagrams."""
+        """Start to receive datagrams, if the socket is open."""
         if self._socket is not None and self._loop is not None:
             self._loop.add_reader(self._socket, self._receive, self._socket)
 
     def stop_receiving(self) -> None:
-        """Leave datagrams to another process; this one can still send."""
+        """Leave all datagrams to another process with the same socket; sending still works."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
 
     def send(self, receiver: int, data: bytes) -> None:
-        """Send a datagram to the gateway of that number, or to ALL_PEERS; it may be lost."""
+        """Send a datagram to the gateway with number `receiver`, or to all peers with ALL_PEERS.
+
+        The datagram may be lost without an error. One above the maximum size is logged and not sent.
+        """
         if self._socket is None:
             return
         if len(data) > MAX_BYTES:
@@ -76,12 +80,12 @@
             return
         address = self._address_of(receiver)
         if address is not None:
-            # OSError: the peer is down, or the socket's buffer is full.
+            # OSError means that the peer is down or that the socket's send buffer is full.
             with contextlib.suppress(OSError):
                 self._socket.sendto(data, address)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Stop receiving and close the socket, if it is open."""
         if self._socket is not None:
             self.stop_receiving()
             self._socket.close()
@@ -94,12 +98,12 @@
         return peers[receiver] if 0 <= receiver < len(peers) else None
 
     def _receive(self, sock: socket.socket) -> None:
-        """Receive one datagram; the event loop calls again if more are queued."""
+        """Receive one datagram; the event loop calls this method again while more are queued."""
         try:
             data, address = sock.recvfrom(MAX_BYTES + 1)
-        except OSError:  # the queue is empty, or a datagram of ours could not be delivered
+        except OSError:  # the queue is empty, or an earlier datagram from here could not be delivered
             return
-        # Datagrams from unknown addresses and oversized ones are ignored.
-        number = self._numbers.get(address)
-        if number is not None and len(data) <= MAX_BYTES:
-            self._on_message(number, data)
+        # Datagrams from unknown addresses and datagrams above the maximum size are ignored.
+        sender = self._numbers_by_address.get(address)
+        if sender is not None and len(data) <= MAX_BYTES:
+            self._on_datagram(sender, data)
--- a/gateway/network/hot_restart/client_listener.py
+++ b/gateway/network/hot_restart/client_listener.py
@@ -11,12 +11,13 @@
 from gateway.network.clients.connection import ClientConnection
 from gateway.network.clients.request_handler import RequestHandler
 
-# Queue of connections that have not been accepted yet, number; also how many of them a shutdown accepts.
+# Size of the listening socket's accept queue, in connections. A shutdown empties the queue before it closes
+# the socket, and accepts at most this many connections for that.
 ACCEPT_BACKLOG = 1024
 
 
 class ClientListener:
-    """Owns the listening socket and accepts clients' connections on it."""
+    """Owns the listening socket for clients and accepts connections on it."""
 
     def __init__(
         self,
@@ -26,7 +27,11 @@
         *,
         shares_address: bool,
     ) -> None:
-        """Pass connections to this handler; nothing is opened yet."""
+        """Open nothing yet; accepted connections are served by `handler`.
+
+        `shares_address` binds a new socket with SO_REUSEPORT, so that another process may bind the same
+        address.
+        """
         self._loop = loop
         self._handler = handler
         self._address = address
@@ -36,56 +41,61 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Whether connections are accepted."""
+        """Whether the event loop accepts connections on the socket."""
         return self._server is not None
 
     def bind(self) -> None:
-        """Bind a new socket; raises OSError if the address cannot be used."""
-        self._socket = bind_socket(socket.SOCK_STREAM, self._address, is_shared=self._shares_address)
+        """Bind a new socket to the address; raises OSError if the address cannot be used."""
+        self._socket = bind_socket(socket.SOCK_STREAM, self._address, reuse_port=self._shares_address)
 
     def adopt(self, sock: socket.socket) -> None:
-        """Use the predecessor's socket."""
+        """Use the listening socket received from the predecessor, and own it from now on."""
         self._socket = sock
 
     def duplicate_descriptor(self) -> int:
-        """Return a duplicate of the socket's descriptor; raises OSError if the socket is not open."""
+        """Return a duplicate of the socket's descriptor, which the caller has to close.
+
+        Raises OSError if the socket is not open.
+        """
         if self._socket is None:
-            raise OSError("the listening socket is not open")
+            raise OSError(
+                f"the listening socket for clients at {self._address[0]}:{self._address[1]} is not open"
+            )
         return os.dup(self._socket.fileno())
 
     async def start_accepting(self) -> None:
-        """Accept connections; raises OSError."""
+        """Start accepting connections, if the socket is open; raises OSError if it cannot listen."""
         if self._socket is not None:
             self._server = await self._loop.create_server(
                 lambda: ClientConnection(self._handler), sock=self._socket.dup(), backlog=ACCEPT_BACKLOG
             )
 
     def stop_accepting(self) -> None:
-        """Leave new connections in the socket's queue."""
+        """Stop accepting; new connections wait in the accept queue of the socket, which stays open."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     async def adopt_connection(self, sock: socket.socket) -> None:
-        """Serve a connection that the predecessor has handed over."""
+        """Serve a connection that the predecessor has handed over, and own its socket from now on."""
         await self._loop.connect_accepted_socket(
             lambda: ClientConnection(self._handler, is_transferred=True), sock
         )
 
-    async def accept_queued(self) -> None:
-        """Serve the connections in the socket's queue, as closing the socket would reset them."""
+    async def accept_queued_connections(self) -> None:
+        """Accept and serve the connections in the accept queue, which closing the socket would reset."""
         if self._socket is None:
             return
         for _ in range(ACCEPT_BACKLOG):
             try:
                 sock, _ = self._socket.accept()
             except OSError:
-                return  # the queue is empty
+                return  # the accept queue is empty
             sock.setblocking(False)
             await self._loop.connect_accepted_socket(lambda: ClientConnection(self._handler), sock)
 
     def close(self) -> None:
-        """Close the socket; no new connection reaches this process."""
+        """Close the socket in this process; connections that are being served stay open."""
         self.stop_accepting()
         if self._socket is not None:
             self._socket.close()
--- a/gateway/network/hot_restart/coordinator.py
+++ b/gateway/network/hot_restart/coordinator.py
@@ -1,8 +1,9 @@
-"""Hot restart as one process sees it: it follows a predecessor, serves, and may get a successor.
+"""Hot restart of one process: it takes over from a predecessor, serves, and hands over to a successor.
 
-The two processes meet at the socket file and exchange packets (`packet_link`). The successor restores the
-predecessor's state, accepts clients at the same socket, and gets each client's connection once it is idle.
-Open requests stay with the predecessor until they are answered.
+The successor connects to the predecessor through a socket file, and the two exchange packets (`packet_link`).
+The successor restores the predecessor's state and accepts clients on the same listening socket. The
+predecessor hands over each client's connection once the connection is idle. Open requests stay with the
+predecessor until they are answered.
 """
 
 from __future__ import annotations
@@ -18,17 +19,18 @@
 from gateway.network.hot_restart.socket_file import SocketFile
 from gateway.network.hot_restart.successor import SuccessorSide
 
-# Handover timeout, seconds: bounds how long an unresponsive predecessor delays the start of its successor.
+# Maximum time in seconds to wait for the predecessor to hand over. An unresponsive predecessor delays the
+# start of this process by no more than this.
 HANDOVER_TIMEOUT_S = 1.0
 
 log = logging.getLogger(__name__)
 
 
 class HotRestart:
-    """The clients' listening socket of a process, and its links to a predecessor and a successor."""
+    """The listening socket for clients, and the links of a process to its predecessor and successor."""
 
     def __init__(self, gateway: Gateway) -> None:
-        """Open nothing yet. Without a private folder no process follows another."""
+        """Open nothing yet; without a private folder for the socket file, hot restart is disabled."""
         config = gateway.config
         self._gateway = gateway
         tasks = BackgroundTasks(gateway.loop)
@@ -41,11 +43,11 @@
 
     @property
     def is_retired(self) -> bool:
-        """Whether a successor serves."""
+        """Whether a successor has taken over the service from this process and still runs."""
         return self._gateway.role.is_retired
 
-    async def find(self) -> None:
-        """Connect to a predecessor; if there is none, serve at once.
+    async def connect_or_serve(self) -> None:
+        """Connect to the predecessor; if none runs, bind new sockets and accept clients at once.
 
         Raises OSError if an address cannot be used.
         """
@@ -53,19 +55,19 @@
             await self._bind_and_serve()
 
     async def take_over(self) -> None:
-        """Take over the service of the predecessor that was found; if it fails, serve beside it.
+        """Take over from the connected predecessor; if that fails, bind new sockets and accept clients.
 
-        Raises OSError if an address cannot be used.
+        Does nothing if `connect_or_serve` found no predecessor. Raises OSError if an address cannot be used.
         """
         if not self._successor_side.is_connected:
             return
         try:
             async with asyncio.timeout(HANDOVER_TIMEOUT_S):
                 await self._successor_side.take_over()
-                await self._predecessor_side.serve()
+                await self._predecessor_side.start_serving()
         except (OSError, HandoverError) as error:
             log.warning(
-                "hot restart: predecessor did not hand over within %.1f s, binding own sockets: %r",
+                "hot restart: takeover from the predecessor failed (timeout %.1f s), binding new sockets: %r",
                 HANDOVER_TIMEOUT_S,
                 error,
             )
@@ -74,15 +76,19 @@
                 await self._bind_and_serve()
 
     async def close(self) -> None:
-        """Accept no more connections; those in the socket's queue are served, unless a successor does."""
+        """Accept no more clients or successors, and close the listening sockets.
+
+        Connections in the accept queue are served first, unless a successor accepts them from the shared
+        socket.
+        """
         self._predecessor_side.stop_listening()
         self._listener.stop_accepting()
         if not self.is_retired:
-            await self._listener.accept_queued()
+            await self._listener.accept_queued_connections()
         self._listener.close()
 
     def close_links(self) -> None:
-        """Close the links to other processes, at the end of this one."""
+        """Close the links to the predecessor and the successor, when this process ends."""
         self._successor_side.close()
         self._predecessor_side.close()
 
@@ -90,4 +96,4 @@
         self._listener.bind()
         if self._gateway.gossip_socket.sock is None:
             self._gateway.gossip_socket.open(self._gateway.loop)
-        await self._predecessor_side.serve()
+        await self._predecessor_side.start_serving()
--- a/gateway/network/hot_restart/handover_state.py
+++ b/gateway/network/hot_restart/handover_state.py
@@ -1,4 +1,7 @@
-"""The state that a predecessor sends to its successor, and its JSON, which versions share."""
+"""The state that a predecessor sends to its successor, as JSON.
+
+The two processes may run different versions of the gateway, so the JSON keys must not change.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """What the successor takes over."""
+    """The state of a process at the moment of the handover."""
 
-    request_ids: list[str]  # of requests that are open or have ended recently
+    request_ids: list[str]  # ids of the requests that are open or have ended recently
     controller_state: GatewayState
-    descriptors: int  # number that the predecessor holds
+    descriptors: int  # number of file descriptors that the predecessor has open
 
     def encode(self) -> bytes:
-        """Return the state's JSON."""
+        """Return the state as JSON."""
         state = {
             "names": self.request_ids,
             "module": self.controller_state.to_json(),
@@ -27,6 +30,6 @@
 
 
 def decode(data: bytes | bytearray) -> HandoverState:
-    """Return the state in its JSON; raises ValueError, KeyError or TypeError if it is malformed."""
+    """Return the state from its JSON; raises ValueError, KeyError or TypeError if that is malformed."""
     state = json.loads(data)
     return HandoverState(state["names"], GatewayState.from_json(state["module"]), state["held"])
--- a/gateway/network/hot_restart/packet_link.py
+++ b/gateway/network/hot_restart/packet_link.py
@@ -1,8 +1,8 @@
-"""Packets between two processes of a gateway, over a Unix socket of the type SOCK_SEQPACKET.
+"""Packets between two processes of a gateway, over a Unix socket of type SOCK_SEQPACKET.
 
-The first byte of a packet names its kind; file descriptors may be attached. The successor sends TAKE_OVER.
-The predecessor replies with its state in chunks (STATE), with the listening sockets (SOCKETS), and then with
-each idle connection of a client (CONNECTION). Datagrams of peers go either way (GOSSIP).
+The first byte of a packet is its type; file descriptors may be attached. The successor sends TAKE_OVER. The
+predecessor replies with its state in chunks (STATE), then with the listening sockets (SOCKETS), and then with
+each client connection that is idle (CONNECTION). Both processes forward gossip datagrams (GOSSIP).
 """
 
 from __future__ import annotations
@@ -16,21 +16,23 @@
 from enum import Enum
 from typing import Protocol
 
-# Maximum packet size, bytes: bounds what one read takes.
+# Maximum size of a received packet, in bytes: the buffer size of one read. The kernel truncates a longer
+# packet.
 MAX_PACKET_BYTES = 64 * 1024
 
-# Maximum number of descriptors that one read takes.
+# Maximum number of file descriptors received with one packet.
 MAX_PACKET_DESCRIPTORS = 4
 
-# Maximum number of queued packets: further datagrams of peers are dropped.
+# Maximum number of packets in the send queue of a link to which a datagram is still added. Beyond it
+# datagrams are dropped, which may be lost anyway; the packets of a handover are queued without a limit.
 MAX_QUEUED_PACKETS = 1024
 
-# The number of the sending gateway, in front of a datagram: unsigned, 16 bits, little-endian.
-_SENDER = struct.Struct("<H")
+# Header of a GOSSIP payload: the number of the gateway that sent the datagram, unsigned 16-bit little-endian.
+_SENDER_NUMBER = struct.Struct("<H")
 
 
-class PacketKind(Enum):
-    """The kinds of packets; the values are their first bytes."""
+class PacketType(Enum):
+    """The type of a packet; the value is the first byte of the packet."""
 
     TAKE_OVER = b"T"
     STATE = b"S"
@@ -39,64 +41,67 @@
     GOSSIP = b"H"
 
 
-_KINDS = {kind.value: kind for kind in PacketKind}
+_TYPES_BY_BYTE = {packet_type.value: packet_type for packet_type in PacketType}
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """One packet; its holder owns the descriptors."""
+    """One packet. Whoever holds the packet owns its descriptors and has to close them or take them out."""
 
-    kind: PacketKind
+    type: PacketType
     payload: bytes = b""
     descriptors: list[int] = field(default_factory=list)
 
     def encode(self) -> bytes:
-        """Return the bytes of the packet."""
-        return self.kind.value + self.payload
+        """Return the bytes on the wire, without the descriptors."""
+        return self.type.value + self.payload
 
     def close_descriptors(self) -> None:
-        """Close the descriptors that have not been taken out of the packet."""
+        """Close and remove the descriptors that are still in the packet."""
         while self.descriptors:
             os.close(self.descriptors.pop())
 
 
 def decode(data: bytes, descriptors: list[int]) -> Packet | None:
-    """Return the packet with these bytes and descriptors, or None if its kind is unknown."""
-    kind = _KINDS.get(data[:1])
-    return None if kind is None else Packet(kind, data[1:], descriptors)
+    """Return the packet with these bytes and descriptors, or None if the type is unknown.
+
+    In the case of None the caller still owns the descriptors.
+    """
+    packet_type = _TYPES_BY_BYTE.get(data[:1])
+    return None if packet_type is None else Packet(packet_type, data[1:], descriptors)
 
 
-def gossip_packet(sender: int, data: bytes) -> Packet:
-    """Return a packet with a datagram of the gateway of that number."""
-    return Packet(PacketKind.GOSSIP, _SENDER.pack(sender) + data)
+def encode_gossip(sender: int, datagram: bytes) -> Packet:
+    """Return a GOSSIP packet with a datagram and the number of the gateway that sent it."""
+    return Packet(PacketType.GOSSIP, _SENDER_NUMBER.pack(sender) + datagram)
 
 
-def gossip_from(packet: Packet) -> tuple[int, bytes]:
-    """Return the sender's number and the datagram in a packet.
+def decode_gossip(packet: Packet) -> tuple[int, bytes]:
+    """Return the number of the sending gateway and the datagram of a GOSSIP packet.
 
-    Raises struct.error if the packet is too short.
+    Raises struct.error if the payload is shorter than the sender's number.
     """
-    (sender,) = _SENDER.unpack(packet.payload[: _SENDER.size])
-    return sender, packet.payload[_SENDER.size :]
+    (sender,) = _SENDER_NUMBER.unpack(packet.payload[: _SENDER_NUMBER.size])
+    return sender, packet.payload[_SENDER_NUMBER.size :]
 
 
 class PacketListener(Protocol):
-    """What a link reports to."""
+    """The receiver of a link's packets and of its end."""
 
     def on_packet(self, link: PacketLink, packet: Packet) -> None:
-        """Handle a packet; the listener owns its descriptors."""
+        """Handle a received packet, whose descriptors the listener now owns."""
 
     def on_link_closed(self, link: PacketLink) -> None:
-        """Note that the link has been closed, by either side."""
+        """Handle the end of the link, which is called once, whichever process closed the link."""
 
 
 class PacketLink:
-    """A connection between two processes of a gateway."""
+    """A connection to another process of this gateway; packets are sent and received in order."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sock: socket.socket, listener: PacketListener
     ) -> None:
-        """Own a connected socket in non-blocking mode, and report what it receives to the listener."""
+        """Start receiving on `sock`, a connected non-blocking socket that the link owns from now on."""
         self._loop = loop
         self._socket = sock
         self._listener = listener
@@ -105,18 +110,24 @@
         loop.add_reader(sock, self._read)
 
     def send(self, packet: Packet) -> None:
-        """Send a packet; its descriptors are closed in this process once it has been written."""
+        """Send a packet, or queue it while the socket is not writable.
+
+        The link owns the descriptors of the packet, and closes them once the packet has been sent.
+        """
         self._queue.append(packet)
         if len(self._queue) == 1:
             self._write()
 
     def send_gossip(self, sender: int, data: bytes) -> None:
-        """Send a datagram of the gateway of that number, or drop it if the queue is full."""
+        """Forward a datagram from the gateway with number `sender`, unless MAX_QUEUED_PACKETS are queued."""
         if len(self._queue) < MAX_QUEUED_PACKETS:
-            self.send(gossip_packet(sender, data))
+            self.send(encode_gossip(sender, data))
 
     def close(self) -> None:
-        """Close the socket and the descriptors of queued packets, and report it to the listener."""
+        """Close the socket and the descriptors of queued packets, and notify the listener.
+
+        Does nothing if the link is closed already.
+        """
         if self._is_closed:
             return
         self._is_closed = True
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -1,4 +1,4 @@
-"""The predecessor's side of a hot restart: it waits for a successor and hands over the service."""
+"""The predecessor's side of a hot restart: it waits for a successor and hands the service over to it."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 from gateway.network.hot_restart.background_tasks import BackgroundTasks
 from gateway.network.hot_restart.client_listener import ClientListener
 from gateway.network.hot_restart.handover_state import HandoverState
-from gateway.network.hot_restart.packet_link import Packet, PacketKind, PacketLink, gossip_from
+from gateway.network.hot_restart.packet_link import Packet, PacketLink, PacketType, decode_gossip
 from gateway.network.hot_restart.socket_file import SocketFile
 
-# State chunk, bytes: how much of the state one packet carries.
+# Maximum number of bytes of the encoded state in one STATE packet. It is below the buffer size with which the
+# successor reads a packet (MAX_PACKET_BYTES).
 STATE_CHUNK_BYTES = 32 * 1024
 
 log = logging.getLogger(__name__)
 
 
 class PredecessorSide:
-    """Listens on the socket file and hands over to the first process that asks for the service."""
+    """Listens on the socket file and hands the service over to the first process that requests it."""
 
     def __init__(
         self,
@@ -30,20 +31,23 @@
         socket_file: SocketFile | None,
         tasks: BackgroundTasks,
     ) -> None:
-        """Hand over the service of this gateway; without a socket file no successor finds it."""
+        """Open nothing yet; without a socket file no successor can connect."""
         self._gateway = gateway
         self._listener = listener
         self._socket_file = socket_file
         self._tasks = tasks
-        self._socket: socket.socket | None = None
+        self._listening_socket: socket.socket | None = None
         self._successor: PacketLink | None = None
 
-    async def serve(self) -> None:
-        """Accept clients, and wait for a successor; raises OSError."""
+    async def start_serving(self) -> None:
+        """Start accepting clients and a successor; raises OSError if the socket for clients cannot listen.
+
+        If the socket file cannot be used, the process serves clients without hot restart.
+        """
         await self._listener.start_accepting()
-        self._listen()
+        self._listen_for_successor()
 
-    def _listen(self) -> None:
+    def _listen_for_successor(self) -> None:
         if self._socket_file is None:
             return
         try:
@@ -51,39 +55,39 @@
         except OSError as error:
             log.warning("hot restart: disabled, cannot listen on the socket file: %s", error)
             return
-        self._socket = sock
-        self._gateway.loop.add_reader(sock, self._accept, sock)
+        self._listening_socket = sock
+        self._gateway.loop.add_reader(sock, self._accept_link, sock)
 
     def stop_listening(self) -> None:
-        """Accept no successor; the file remains until the next process replaces it."""
-        if self._socket is not None:
-            self._gateway.loop.remove_reader(self._socket)
-            self._socket.close()
-            self._socket = None
+        """Accept no more links; the socket file stays until the next process replaces it."""
+        if self._listening_socket is not None:
+            self._gateway.loop.remove_reader(self._listening_socket)
+            self._listening_socket.close()
+            self._listening_socket = None
 
     def close(self) -> None:
-        """Close the link to the successor, without serving again."""
+        """Close the link to the successor, if there is one, without resuming service."""
         link = self._successor
         self._successor = None
         if link is not None:
             link.close()
 
     def on_packet(self, link: PacketLink, packet: Packet) -> None:
-        """Hand over, or report a datagram of the successor.
+        """Hand over on TAKE_OVER, and pass on the datagrams that the successor forwards.
 
-        A process that starts, shuts down or has handed over already closes the link, so that the other one
-        need not wait for the state.
+        If this process is not ready (it is starting, shutting down, or has handed over already), it closes
+        the link, so that the requesting process does not wait for a state that never comes.
         """
         packet.close_descriptors()
-        if packet.kind is PacketKind.TAKE_OVER and self._gateway.ready:
+        if packet.type is PacketType.TAKE_OVER and self._gateway.ready:
             self._hand_over(link)
-        elif packet.kind is PacketKind.TAKE_OVER:
+        elif packet.type is PacketType.TAKE_OVER:
             link.close()
-        elif packet.kind is PacketKind.GOSSIP and link is self._successor:
-            self._gateway.on_sibling_gossip(*gossip_from(packet))
+        elif packet.type is PacketType.GOSSIP and link is self._successor:
+            self._gateway.on_sibling_gossip(*decode_gossip(packet))
 
     def on_link_closed(self, link: PacketLink) -> None:
-        """Serve again if the successor has ended, unless this process is shutting down."""
+        """Resume service if the successor has ended, unless this process is shutting down."""
         if link is not self._successor:
             return
         self._successor = None
@@ -91,15 +95,15 @@
             log.warning(
                 "hot restart: successor of gateway %s ended, resuming service", self._gateway.config.name
             )
-            self._tasks.start(self.serve())
+            self._tasks.start(self.start_serving())
 
-    def _accept(self, listening: socket.socket) -> None:
+    def _accept_link(self, listening_socket: socket.socket) -> None:
         try:
-            sock, _ = listening.accept()
+            sock, _ = listening_socket.accept()
         except OSError:
-            return  # the successor has ended in between
+            return  # the connecting process has closed the connection before it was accepted
         sock.setblocking(False)
-        # The event loop holds the link until it is closed.
+        # No reference is needed here: the event loop refers to the link as the reader of its socket.
         PacketLink(self._gateway.loop, sock, self)
 
     def _hand_over(self, link: PacketLink) -> None:
@@ -127,36 +131,37 @@
         gossip_socket = self._gateway.gossip_socket.sock
         if gossip_socket is not None:
             descriptors.append(os.dup(gossip_socket.fileno()))
-        link.send(Packet(PacketKind.SOCKETS, descriptors=descriptors))
+        link.send(Packet(PacketType.SOCKETS, descriptors=descriptors))
 
 
 class Successor:
-    """The successor, as the gateway that has handed over sees it (`SuccessorLink`)."""
+    """The link to the successor, for the gateway that has handed over to it (`SuccessorLink`)."""
 
     def __init__(self, link: PacketLink, connections: ConnectionLimiter) -> None:
-        """Send packets on this link; connections that are handed over leave the table."""
+        """Send packets on `link`, and remove connections that are handed over from `connections`."""
         self._link = link
         self._connections = connections
 
     def send_gossip(self, sender: int, data: bytes) -> None:
-        """Forward a datagram from the gateway of that number."""
+        """Forward a datagram from the gateway with number `sender`, unless the send queue is full."""
         self._link.send_gossip(sender, data)
 
     def hand_over(self, client: LimitedConnection) -> None:
-        """Pass on an idle connection.
+        """Send the client's idle connection to the successor, and close it in this process.
 
-        From now on it is not read here; what the client sends waits in the socket for the successor.
+        This process stops reading the connection first, so that anything the client sends from now on stays
+        in the socket's receive buffer for the successor.
         """
         transport = client.transport
         if transport is None:
-            return  # it is not connected
+            return  # the connection has not been established
         transport.pause_reading()
         descriptor = os.dup(transport.get_extra_info("socket").fileno())
-        self._link.send(Packet(PacketKind.CONNECTION, descriptors=[descriptor]))
+        self._link.send(Packet(PacketType.CONNECTION, descriptors=[descriptor]))
         client.drop()
         self._connections.remove(client)
 
 
 def _send_state(link: PacketLink, data: bytes) -> None:
     for start in range(0, len(data), STATE_CHUNK_BYTES):
-        link.send(Packet(PacketKind.STATE, data[start : start + STATE_CHUNK_BYTES]))
+        link.send(Packet(PacketType.STATE, data[start : start + STATE_CHUNK_BYTES]))
--- a/gateway/network/hot_restart/socket_file.py
+++ b/gateway/network/hot_restart/socket_file.py
@@ -1,4 +1,4 @@
-"""The socket file in $TMPDIR by which a successor finds its predecessor."""
+"""The socket file in $TMPDIR through which a successor connects to its predecessor."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 from gateway.config import Address
 
-# Queue of connections that the predecessor has not accepted yet, number.
+# Size of the accept queue of the socket file, in connections of successors that are not accepted yet.
 SOCKET_FILE_BACKLOG = 4
 
-# Access mode of the socket file: its owner's processes only.
+# Permissions of the socket file: only processes of the owner may connect and take over clients' connections.
 SOCKET_FILE_MODE = 0o600
 
 
 class SocketFile:
-    """The socket file of a gateway that listens at one address."""
+    """The socket file of a gateway; all its processes use the same file."""
 
     def __init__(self, folder: str, listen: Address) -> None:
-        """Use a file in this folder; the name follows from the address."""
+        """Derive the name of the file in `folder` from the gateway's address; create nothing yet."""
         self._folder = folder
         self._name = f"gatekeeper-{listen[0]}-{listen[1]}"
 
     def connect(self) -> socket.socket:
-        """Return a socket that is connected to the predecessor.
+        """Return a non-blocking socket that is connected to the predecessor.
 
-        Raises OSError if there is no predecessor, or if it accepts no connection.
+        Raises OSError if no process listens on the file, or if its accept queue is full.
         """
         sock = _new_socket()
         try:
@@ -39,9 +39,10 @@
         return sock
 
     def listen(self) -> socket.socket:
-        """Replace the file, which a predecessor may have left, and return a socket that listens on it.
+        """Create the file, and return a non-blocking socket that listens on it.
 
-        Raises OSError.
+        A file that an earlier process has left is replaced. Raises OSError if the file cannot be replaced or
+        bound.
         """
         sock = _new_socket()
         try:
@@ -58,7 +59,7 @@
 
     @contextlib.contextmanager
     def _path(self) -> Iterator[str]:
-        """Provide a path by way of /proc, as the path of a socket is limited to 107 bytes."""
+        """Provide a short path to the file through /proc, as a socket's path is limited to 107 bytes."""
         folder = os.open(self._folder, os.O_PATH | os.O_DIRECTORY)
         try:
             yield f"/proc/self/fd/{folder}/{self._name}"
--- a/gateway/network/hot_restart/successor.py
+++ b/gateway/network/hot_restart/successor.py
@@ -1,4 +1,4 @@
-"""The successor's side of a hot restart: it finds a predecessor and takes over the service."""
+"""The successor's side of a hot restart: it connects to the predecessor and takes over the service."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 from gateway.network.hot_restart import handover_state
 from gateway.network.hot_restart.background_tasks import BackgroundTasks
 from gateway.network.hot_restart.client_listener import ClientListener
-from gateway.network.hot_restart.packet_link import Packet, PacketKind, PacketLink, gossip_from
+from gateway.network.hot_restart.packet_link import Packet, PacketLink, PacketType, decode_gossip
 from gateway.network.hot_restart.socket_file import SocketFile
 
-# Minimum number of descriptors to begin with, however many the predecessor holds.
+# While the predecessor runs, the successor uses only the descriptors within the configured limit that the
+# predecessor does not hold, but at least this many, so that it can serve beside any predecessor.
 MIN_INITIAL_DESCRIPTORS = 64
 
 
 class SuccessorSide:
-    """Asks the predecessor for the service and restores what it sends."""
+    """Requests the service from the predecessor, and restores the state and the sockets that it sends."""
 
     def __init__(
         self,
@@ -27,22 +28,22 @@
         socket_file: SocketFile | None,
         tasks: BackgroundTasks,
     ) -> None:
-        """Restore the state into this gateway, and the listening socket into this listener."""
+        """Connect to nothing yet; `gateway` gets the restored state, and `listener` the listening socket."""
         self._gateway = gateway
         self._listener = listener
         self._socket_file = socket_file
         self._tasks = tasks
         self._predecessor: PacketLink | None = None
-        self._handover: asyncio.Future[None] | None = None
-        self._state = bytearray()
+        self._takeover: asyncio.Future[None] | None = None
+        self._encoded_state = bytearray()
 
     @property
     def is_connected(self) -> bool:
-        """Whether a predecessor has been found."""
+        """Whether the link to a predecessor is open."""
         return self._predecessor is not None
 
     def connect(self) -> bool:
-        """Connect to a predecessor; return False if there is none."""
+        """Connect to the predecessor; return False if no process accepts the connection."""
         if self._socket_file is None:
             return False
         try:
@@ -53,63 +54,66 @@
         return True
 
     async def take_over(self) -> None:
-        """Ask for the service, and wait until the state and the sockets have been taken over.
+        """Request the service, and wait until the state is restored and the sockets are open.
 
-        Raises HandoverError if the state cannot be restored, ConnectionError if the predecessor ends first.
+        Raises HandoverError if the state cannot be restored, and ConnectionError if the predecessor is not
+        connected or closes the link before the state is complete.
         """
         if self._predecessor is None:
-            raise ConnectionError("there is no predecessor")
-        self._handover = self._gateway.loop.create_future()
-        self._predecessor.send(Packet(PacketKind.TAKE_OVER))
-        await self._handover
+            raise ConnectionError("no predecessor is connected")
+        self._takeover = self._gateway.loop.create_future()
+        self._predecessor.send(Packet(PacketType.TAKE_OVER))
+        await self._takeover
 
     def close(self) -> None:
-        """Close the link to the predecessor, without a report to the gateway."""
+        """Close the link to the predecessor, if it is open, without notifying the gateway."""
         link = self._predecessor
         self._predecessor = None
         if link is not None:
             link.close()
 
     def on_packet(self, link: PacketLink, packet: Packet) -> None:
-        """Take over what the packet carries."""
-        match packet.kind:
-            case PacketKind.STATE:
-                self._state += packet.payload
-            case PacketKind.SOCKETS if self._handover is not None and not self._handover.done():
-                self._finish_handover(link, self._handover, packet)
-            case PacketKind.CONNECTION if packet.descriptors:
+        """Restore the state, the sockets, a client's connection or a datagram that the predecessor sends."""
+        match packet.type:
+            case PacketType.STATE:
+                self._encoded_state += packet.payload
+            case PacketType.SOCKETS if self._takeover is not None and not self._takeover.done():
+                self._finish_takeover(link, self._takeover, packet)
+            case PacketType.CONNECTION if packet.descriptors:
                 sock = socket.socket(fileno=packet.descriptors.pop())
                 self._tasks.start(self._listener.adopt_connection(sock))
-            case PacketKind.GOSSIP:
-                self._gateway.on_sibling_gossip(*gossip_from(packet))
+            case PacketType.GOSSIP:
+                self._gateway.on_sibling_gossip(*decode_gossip(packet))
         packet.close_descriptors()
 
     def on_link_closed(self, link: PacketLink) -> None:
-        """Fail a handover in progress; after it, report that the predecessor has ended."""
-        if link is not self._predecessor or self._handover is None:
+        """Fail a takeover in progress; after one, notify the gateway that the predecessor has ended."""
+        if link is not self._predecessor or self._takeover is None:
             return
         self._predecessor = None
-        if self._handover.done():
+        if self._takeover.done():
             self._gateway.on_predecessor_ended()
         else:
-            self._handover.set_exception(ConnectionError("the predecessor has ended"))
+            self._takeover.set_exception(
+                ConnectionError("the predecessor closed the link before it handed over")
+            )
 
     def abort(self) -> None:
-        """Go on without the predecessor, which has not handed over."""
+        """Close the link to a predecessor that has not handed over."""
         if self._predecessor is not None:
             self._predecessor.close()
 
-    def _finish_handover(self, link: PacketLink, handover: asyncio.Future[None], packet: Packet) -> None:
+    def _finish_takeover(self, link: PacketLink, takeover: asyncio.Future[None], packet: Packet) -> None:
         try:
             self._restore(link, packet)
-        except Exception as error:  # whatever a predecessor of another version sends, this process starts
-            handover.set_exception(HandoverError(repr(error)))
+        except Exception as error:  # an invalid state, as of another version, must not prevent the start
+            takeover.set_exception(HandoverError(f"the predecessor's state cannot be restored: {error!r}"))
             return
-        self._state.clear()
-        handover.set_result(None)
+        self._encoded_state.clear()
+        takeover.set_result(None)
 
     def _restore(self, link: PacketLink, packet: Packet) -> None:
-        state = handover_state.decode(self._state)
+        state = handover_state.decode(self._encoded_state)
         sockets = [socket.socket(fileno=descriptor) for descriptor in packet.descriptors]
         packet.descriptors.clear()
         gateway = self._gateway
--- a/gateway/network/process_role.py
+++ b/gateway/network/process_role.py
@@ -1,4 +1,4 @@
-"""The phase of this process's service, and its role beside another process of the same gateway."""
+"""The service phase of this process, and its role in a hot restart of the gateway."""
 
 from __future__ import annotations
 
@@ -10,45 +10,46 @@
 
 
 class ServicePhase(Enum):
-    """The phases of a process, entered in this order."""
+    """The phases of a process, in the order in which it enters them."""
 
-    STARTING = "starting"  # clients are not served yet
-    SERVING = "serving"
-    SHUTTING_DOWN = "shutting down"  # requests are still accepted, with deadlines before the end
-    DRAINING = "draining"  # open requests are finished, no connection is kept open
+    STARTING = "starting"  # not ready: sockets are opened, and the first endpoint list is awaited
+    SERVING = "serving"  # requests are accepted
+    SHUTTING_DOWN = "shutting down"  # requests are accepted, with deadlines before the planned end
+    DRAINING = "draining"  # open requests are finished, and connections are closed after their responses
 
 
 class SiblingLink(Protocol):
-    """The link to another process of this gateway."""
+    """The link to a sibling: the predecessor or the successor of this process, of the same gateway."""
 
     def send_gossip(self, sender: int, data: bytes) -> None:
-        """Forward a datagram from the gateway of that number; it may be lost, as any datagram may be."""
+        """Forward a datagram from the gateway with number `sender`; it may be lost, like any datagram."""
 
 
 class SuccessorLink(SiblingLink, Protocol):
-    """The link to the process that has taken over the service."""
+    """The link to the process that has taken over the service from this one."""
 
     def hand_over(self, client: LimitedConnection) -> None:
-        """Pass on an idle connection of a client; this process no longer uses it."""
+        """Send a client's idle connection to the successor; this process must not use it any more."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServingAlone:
-    """No other process of this gateway is linked."""
+    """The role of a process without a predecessor and a successor."""
 
 
 @dataclass(frozen=True, slots=True)
 class FollowingPredecessor:
-    """This process has taken over the service; its predecessor finishes its open requests."""
+    """The role of a process that has taken over the service while its predecessor finishes open requests."""
 
     predecessor: SiblingLink
 
 
 @dataclass(frozen=True, slots=True)
 class Retired:
-    """A successor serves; this process finishes its open requests.
+    """The role of a process that finishes its open requests after a successor has taken over the service.
 
-    The gossip link is the successor's, or None once a predecessor of this process has ended in this state.
+    `gossip_link` is the link to the successor, or None once a predecessor of this process has ended in this
+    role.
     """
 
     successor: SuccessorLink
@@ -56,9 +57,9 @@
 
 
 class ProcessRole:
-    """The phase of the service and the role in a hot restart.
+    """The service phase, and the role in a hot restart.
 
-    | state                | event             | next state              |
+    | role                 | event             | next role               |
     | -------------------- | ----------------- | ----------------------- |
     | ServingAlone         | follow            | FollowingPredecessor    |
     | FollowingPredecessor | predecessor ended | ServingAlone            |
@@ -68,52 +69,52 @@
     """
 
     def __init__(self) -> None:
-        """Begin in the phase STARTING, with no other process."""
+        """Start in the phase STARTING and the role ServingAlone."""
         self.phase = ServicePhase.STARTING
-        self._state: ServingAlone | FollowingPredecessor | Retired = ServingAlone()
+        self._role: ServingAlone | FollowingPredecessor | Retired = ServingAlone()
 
     @property
     def is_ready(self) -> bool:
-        """Whether this process serves, and no successor does."""
-        return self.phase is ServicePhase.SERVING and not isinstance(self._state, Retired)
+        """Whether the phase is SERVING and no successor has taken over."""
+        return self.phase is ServicePhase.SERVING and not isinstance(self._role, Retired)
 
     @property
     def is_retired(self) -> bool:
-        """Whether a successor serves."""
-        return isinstance(self._state, Retired)
+        """Whether a successor has taken over the service and still runs."""
+        return isinstance(self._role, Retired)
 
     @property
     def predecessor(self) -> SiblingLink | None:
-        """The link to the predecessor, while this process serves and the predecessor runs."""
-        return self._state.predecessor if isinstance(self._state, FollowingPredecessor) else None
+        """The link to the predecessor, or None unless the role is FollowingPredecessor."""
+        return self._role.predecessor if isinstance(self._role, FollowingPredecessor) else None
 
     @property
     def successor(self) -> SuccessorLink | None:
-        """The link to the successor, while that one serves."""
-        return self._state.successor if isinstance(self._state, Retired) else None
+        """The link to the successor, or None unless the role is Retired."""
+        return self._role.successor if isinstance(self._role, Retired) else None
 
     @property
     def sibling(self) -> SiblingLink | None:
-        """The link to the process that gets the datagrams which this gateway sends to itself."""
-        if isinstance(self._state, Retired):
-            return self._state.gossip_link
+        """The link for datagrams that this gateway addresses to itself, or None if no other process runs."""
+        if isinstance(self._role, Retired):
+            return self._role.gossip_link
         return self.predecessor
 
     def follow(self, predecessor: SiblingLink) -> None:
-        """Take over the service from the predecessor."""
-        self._state = FollowingPredecessor(predecessor)
+        """Enter the role FollowingPredecessor, when this process has taken over the service."""
+        self._role = FollowingPredecessor(predecessor)
 
     def retire(self, successor: SuccessorLink) -> None:
-        """Leave the service to the successor."""
-        self._state = Retired(successor, gossip_link=successor)
+        """Enter the role Retired, when the successor takes over the service."""
+        self._role = Retired(successor, gossip_link=successor)
 
     def on_predecessor_ended(self) -> None:
-        """Forget the predecessor."""
-        if isinstance(self._state, Retired):
-            self._state = replace(self._state, gossip_link=None)
+        """Release the link to the predecessor, whose process has ended."""
+        if isinstance(self._role, Retired):
+            self._role = replace(self._role, gossip_link=None)
         else:
-            self._state = ServingAlone()
+            self._role = ServingAlone()
 
     def on_successor_ended(self) -> None:
-        """Forget the successor."""
-        self._state = ServingAlone()
+        """Return to the role ServingAlone, when the successor's process has ended."""
+        self._role = ServingAlone()
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -1,4 +1,4 @@
-"""The life of one process: start, ready, reload, graceful shutdown."""
+"""The lifecycle of one gateway process: start, readiness, configuration reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -16,39 +16,43 @@
 from gateway.network.gateway import Gateway
 from gateway.network.hot_restart.coordinator import HotRestart
 
-# First endpoint list timeout, s: how long the start waits for discovery before it uses the configured list.
+# Maximum time in seconds that the start waits for an endpoint list from discovery. After that the process
+# serves with the list in its configuration.
 FIRST_LIST_TIMEOUT_S = 0.5
 
-# Guaranteed deadline, s: the platform waits at least this long, or the longest deadline if that is less,
-# before it sends SIGKILL.
-MAX_GUARANTEED_DEADLINE_S = 3.0
+# The platform waits for a grace period after SIGTERM before it sends SIGKILL. The grace period is the longest
+# deadline of all classes, but at most this many seconds, plus GRACE_PERIOD_EXTRA_S.
+MAX_GRACE_PERIOD_DEADLINE_S = 3.0
 
-# Guaranteed extra time, s: added by the platform to the guaranteed deadline.
-GUARANTEED_EXTRA_S = 0.7
+# Seconds that the platform adds to the longest deadline for the grace period between SIGTERM and SIGKILL.
+GRACE_PERIOD_EXTRA_S = 0.7
 
-# Shutdown margin, s: the shutdown is planned to end this long before SIGKILL may come.
+# The shutdown is planned to end this many seconds before the grace period does, when SIGKILL may follow.
 SHUTDOWN_MARGIN_S = 0.5
 
-# Draining time, s: connections are closed after their responses from this long before the planned end.
+# The process starts to close connections after their responses (drains) this many seconds before the planned
+# end of the shutdown.
 DRAINING_TIME_S = 1.0
 
-# Minimum service time, s: how long new connections are accepted after SIGTERM, however early the planned end.
-MIN_SERVICE_S = 0.6
+# Minimum time in seconds for which new connections are accepted after SIGTERM, even if the planned end of the
+# shutdown would require draining earlier.
+MIN_SERVICE_AFTER_SIGTERM_S = 0.6
 
-# Finish timeout, s: bounds the wait for open requests, each of which has a guard timer or a stall timeout.
-FINISH_TIMEOUT_S = 600.0
+# Maximum time in seconds that the shutdown waits for open requests and connections after it has started to
+# drain. Each request ends earlier by its guard timer or its stall timeout; this is a last resort.
+DRAINING_TIMEOUT_S = 600.0
 
-# Poll interval, s: how often the shutdown checks for open work.
+# Interval in seconds at which the shutdown checks whether requests or connections are still open.
 POLL_INTERVAL_S = 0.02
 
-# Signals that are blocked at the very end, when no handler is left for them.
+# Signals that the process handles. They are blocked once the event loop is about to remove their handlers.
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 log = logging.getLogger("gateway")
 
 
 async def serve(config: Config) -> None:
-    """Run one gateway until SIGTERM or SIGINT, then finish its open requests.
+    """Run one gateway process until SIGTERM or SIGINT, and shut it down gracefully.
 
     Raises OSError if an address cannot be used.
     """
@@ -60,10 +64,10 @@
 
 
 class GatewayProcess:
-    """One process of a gateway, and the order in which its parts start and end."""
+    """Starts and stops the components of one gateway process in order."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
-        """Make the parts; nothing is opened yet."""
+        """Create the components; open nothing yet."""
         settings = config.settings
         self._config = config
         self._loop = loop
@@ -84,25 +88,26 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def handle_signals(self) -> None:
-        """Shut down on SIGTERM and SIGINT, reload on SIGHUP."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._stop_requested.set)
+        """Install handlers: SIGTERM and SIGINT request a shutdown, SIGHUP requests a configuration reload."""
+        for stop_signal in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(stop_signal, self._stop_requested.set)
         self._loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
 
     async def start(self) -> None:
-        """Open all sockets, wait for the first endpoint list, and take over from a predecessor.
+        """Open all sockets, wait for an endpoint list, take over from a predecessor, and become ready.
 
         Raises OSError if an address cannot be used.
         """
         self._gateway.on_endpoint_list(self._config.known)
         await self._admin.open(self._config.control)
-        await self._hot_restart.find()
+        await self._hot_restart.connect_or_serve()
         self._tasks = [
             self._loop.create_task(self._endpoint_watch.run()),
-            self._loop.create_task(self._reload_on_request()),
+            self._loop.create_task(self._reload_on_requests()),
         ]
         await self._wait_for_endpoint_list()
-        # The objects made so far live as long as the process: the garbage collector skips them from now on.
+        # The objects created so far live as long as the process. Freezing them spares the garbage collector
+        # from scanning them again.
         gc.collect()
         gc.freeze()
         await self._hot_restart.take_over()
@@ -110,19 +115,20 @@
         log.info("gateway %s: ready", self._config.name)
 
     async def wait_for_stop_signal(self) -> None:
-        """Wait for SIGTERM or SIGINT."""
+        """Return once SIGTERM or SIGINT has been received."""
         await self._stop_requested.wait()
 
     async def shut_down(self) -> None:
-        """Serve until shortly before the planned end, finish open requests, and close everything."""
+        """Serve until draining has to begin, finish the open requests, and stop all components."""
         await self._serve_until_draining()
         await self._finish_open_requests()
         await self._stop_tasks()
         self._gateway.gossip_socket.close()
         self._hot_restart.close_links()
         self._admin.close()
-        # The event loop removes its signal handlers when it closes; a signal after that would end the process
-        # with a wrong exit code. Once the executor's thread has ended, this mask covers the process.
+        # The event loop removes its signal handlers when it closes, and a signal after that would kill the
+        # process, which would then not exit with code 0. The signals are blocked for this reason. The mask
+        # covers only the calling thread, which is the last one once the executor has been shut down.
         await self._loop.shutdown_default_executor()
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         log.info("gateway %s: shutdown complete", self._config.name)
@@ -139,24 +145,30 @@
             )
 
     async def _serve_until_draining(self) -> None:
-        """Serve as before: after SIGTERM new connections still arrive, and peers still need this leader."""
-        longest_s = max(known.deadline_ms for known in self._config.settings.classes) / 1000
-        guaranteed_s = min(longest_s, MAX_GUARANTEED_DEADLINE_S) + GUARANTEED_EXTRA_S
-        end_s = guaranteed_s - SHUTDOWN_MARGIN_S
-        self._gateway.begin_shutdown(end_s * 1000)
-        draining_at_s = self._loop.time() + max(MIN_SERVICE_S, end_s - DRAINING_TIME_S)
-        while self._loop.time() < draining_at_s and self._is_needed():
+        """Keep serving after SIGTERM until draining has to begin.
+
+        Clients still open new connections, and peers still depend on this gateway as a quota leader. The wait
+        ends early if a successor serves and no work is open here.
+        """
+        longest_deadline_s = (
+            max(request_class.deadline_ms for request_class in self._config.settings.classes) / 1000
+        )
+        grace_period_s = min(longest_deadline_s, MAX_GRACE_PERIOD_DEADLINE_S) + GRACE_PERIOD_EXTRA_S
+        time_left_s = grace_period_s - SHUTDOWN_MARGIN_S
+        self._gateway.begin_shutdown(time_left_s * 1000)
+        draining_at_s = self._loop.time() + max(MIN_SERVICE_AFTER_SIGTERM_S, time_left_s - DRAINING_TIME_S)
+        while self._loop.time() < draining_at_s and self._has_to_serve():
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _is_needed(self) -> bool:
+    def _has_to_serve(self) -> bool:
         return self._gateway.has_open_work() or not self._hot_restart.is_retired
 
     async def _finish_open_requests(self) -> None:
         await self._hot_restart.close()
         self._gateway.drain()
         self._gateway.frontend.close_idle()
-        end_at_s = self._loop.time() + FINISH_TIMEOUT_S
-        while self._gateway.continue_draining() and self._loop.time() < end_at_s:
+        give_up_at_s = self._loop.time() + DRAINING_TIMEOUT_S
+        while self._gateway.continue_draining() and self._loop.time() < give_up_at_s:
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _stop_tasks(self) -> None:
@@ -164,28 +176,30 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _reload_on_request(self) -> None:
-        """Reload the configuration on each request; an invalid file changes nothing."""
+    async def _reload_on_requests(self) -> None:
+        """Reload the configuration on each SIGHUP; an invalid configuration is logged and changes nothing."""
         while True:
             await self._reload_requested.wait()
-            # Cleared before the file is read, so that a change during the read causes another one.
+            # Cleared before the file is read, so that a SIGHUP during the read causes another reload.
             self._reload_requested.clear()
             try:
                 config = await asyncio.to_thread(load, os.environ)
             except ConfigError as error:
                 log.error("configuration reload failed, keeping the current configuration: %s", error)
             else:
-                self._apply(config)
+                self._apply_reloaded(config)
 
-    def _apply(self, config: Config) -> None:
-        """Use the new address of discovery; no other setting can change while the process runs."""
+    def _apply_reloaded(self, config: Config) -> None:
+        """Use the discovery address of the reloaded configuration; everything else needs a restart."""
         log.info("configuration reloaded: discovery at %s:%d", *config.discovery)
         if self._differs_beyond_discovery(config):
             log.warning(
-                "configuration reload: changes other than the discovery address take effect at the next start"
+                "configuration reload: changes other than the discovery address take effect after a restart"
             )
         self._endpoint_watch.set_address(config.discovery)
 
     def _differs_beyond_discovery(self, config: Config) -> bool:
-        own = self._config
-        return replace(config, discovery=own.discovery, seed=own.seed, known=own.known) != own
+        # The seed and the configured endpoint list matter at the start only, so changes of them are not
+        # reported.
+        current = self._config
+        return replace(config, discovery=current.discovery, seed=current.seed, known=current.known) != current
--- a/tests/network/hot_restart/test_packet_link.py
+++ b/tests/network/hot_restart/test_packet_link.py
@@ -1,4 +1,4 @@
-"""Tests of the packets between two processes, over a pair of connected sockets."""
+"""Tests of packet links, over a pair of connected sockets in one process."""
 
 import asyncio
 import os
@@ -11,15 +11,15 @@
 from gateway.network.hot_restart.packet_link import (
     MAX_QUEUED_PACKETS,
     Packet,
-    PacketKind,
     PacketLink,
-    gossip_from,
-    gossip_packet,
+    PacketType,
+    decode_gossip,
+    encode_gossip,
 )
 
 
 class RecordingListener:
-    """Puts the packets of a link into a queue, and None at its end."""
+    """Queues the packets that a link receives, and None when the link is closed."""
 
     def __init__(self):
         self.received = asyncio.Queue()
@@ -46,7 +46,7 @@
     return RecordingListener()
 
 
-def link_on(sock, listener):
+def open_link(sock, listener):
     return PacketLink(asyncio.get_running_loop(), sock, listener)
 
 
@@ -54,39 +54,40 @@
     return set(os.listdir("/proc/self/fd"))
 
 
+# Packets and their bytes on the wire.
 PACKETS = [
-    (Packet(PacketKind.TAKE_OVER), b"T"),
-    (Packet(PacketKind.STATE, b'{"names":'), b'S{"names":'),
-    (Packet(PacketKind.SOCKETS), b"G"),
-    (Packet(PacketKind.CONNECTION), b"C"),
-    (gossip_packet(258, b"\x00data"), b"H\x02\x01\x00data"),
+    (Packet(PacketType.TAKE_OVER), b"T"),
+    (Packet(PacketType.STATE, b'{"names":'), b'S{"names":'),
+    (Packet(PacketType.SOCKETS), b"G"),
+    (Packet(PacketType.CONNECTION), b"C"),
+    (encode_gossip(258, b"\x00data"), b"H\x02\x01\x00data"),
 ]
 
 
 @pytest.mark.parametrize(("packet", "data"), PACKETS)
-async def test_packet_is_written_as_its_kind_and_payload_and_read_back(packet, data, sockets, listener):
-    ours, theirs = sockets
-    link = link_on(ours, listener)
+async def test_packet_is_sent_as_type_and_payload_and_received_back(packet, data, sockets, listener):
+    local_socket, remote_socket = sockets
+    link = open_link(local_socket, listener)
     link.send(packet)
-    assert theirs.recv(100) == data
-    theirs.send(data)
+    assert remote_socket.recv(100) == data
+    remote_socket.send(data)
     assert await listener.received.get() == packet
     link.close()
 
 
-def test_gossip_packet_holds_the_sender_and_the_datagram():
-    assert gossip_from(gossip_packet(65535, b"data")) == (65535, b"data")
-    assert gossip_from(gossip_packet(0, b"")) == (0, b"")
+def test_gossip_packet_carries_the_sender_number_and_the_datagram():
+    assert decode_gossip(encode_gossip(65535, b"data")) == (65535, b"data")
+    assert decode_gossip(encode_gossip(0, b"")) == (0, b"")
     with pytest.raises(struct.error):
-        gossip_from(Packet(PacketKind.GOSSIP, b"\x01"))
+        decode_gossip(Packet(PacketType.GOSSIP, b"\x01"))
 
 
-async def test_descriptors_are_passed_on_and_closed_by_the_sender(sockets, listener):
-    ours, theirs = sockets
-    link = link_on(ours, RecordingListener())
-    other = link_on(theirs, listener)
+async def test_sent_descriptors_are_closed_by_the_sender_and_usable_by_the_receiver(sockets, listener):
+    local_socket, remote_socket = sockets
+    link = open_link(local_socket, RecordingListener())
+    remote_link = open_link(remote_socket, listener)
     reader, writer = os.pipe()
-    link.send(Packet(PacketKind.SOCKETS, descriptors=[writer]))
+    link.send(Packet(PacketType.SOCKETS, descriptors=[writer]))
     with pytest.raises(OSError, match="Bad file descriptor"):
         os.fstat(writer)
     packet = await listener.received.get()
@@ -96,67 +97,67 @@
     assert os.read(reader, 1) == b"" and not packet.descriptors
     os.close(reader)
     link.close()
-    other.close()
+    remote_link.close()
 
 
-async def test_packet_of_an_unknown_kind_is_ignored_and_its_descriptors_closed(sockets, listener):
-    ours, theirs = sockets
-    link = link_on(ours, listener)
+async def test_packet_of_unknown_type_is_ignored_and_its_descriptors_are_closed(sockets, listener):
+    local_socket, remote_socket = sockets
+    link = open_link(local_socket, listener)
     reader, writer = os.pipe()
-    socket.send_fds(theirs, [b"?unknown"], [writer])
+    socket.send_fds(remote_socket, [b"?unknown"], [writer])
     os.close(writer)
-    theirs.send(b"T")
-    assert await listener.received.get() == Packet(PacketKind.TAKE_OVER)
+    remote_socket.send(b"T")
+    assert await listener.received.get() == Packet(PacketType.TAKE_OVER)
     assert os.read(reader, 1) == b""
     os.close(reader)
     link.close()
 
 
-async def test_packets_that_the_socket_does_not_take_are_queued_in_order(sockets, listener):
-    ours, theirs = sockets
-    link = link_on(ours, RecordingListener())
+async def test_packets_beyond_the_socket_buffer_are_queued_and_sent_in_order(sockets, listener):
+    local_socket, remote_socket = sockets
+    link = open_link(local_socket, RecordingListener())
     payloads = [bytes([number]) * 30_000 for number in range(40)]
     for payload in payloads:
-        link.send(Packet(PacketKind.STATE, payload))
-    other = link_on(theirs, listener)
+        link.send(Packet(PacketType.STATE, payload))
+    remote_link = open_link(remote_socket, listener)
     assert [(await listener.received.get()).payload for _ in payloads] == payloads
     link.close()
-    other.close()
+    remote_link.close()
 
 
 async def test_datagrams_beyond_the_queue_limit_are_dropped(sockets, listener, monkeypatch):
     assert MAX_QUEUED_PACKETS == 1024
     monkeypatch.setattr(packet_link, "MAX_QUEUED_PACKETS", 3)
-    ours, theirs = sockets
-    link = link_on(ours, listener)
+    local_socket, remote_socket = sockets
+    link = open_link(local_socket, listener)
     accepted = 0
     while not link._queue:
         link.send_gossip(1, bytes(256))
         accepted += 1
     for _ in range(5):
         link.send_gossip(1, bytes(256))
-    other_listener = RecordingListener()
-    other = link_on(theirs, other_listener)
+    remote_listener = RecordingListener()
+    remote_link = open_link(remote_socket, remote_listener)
     for _ in range(accepted + 2):
-        assert (await other_listener.received.get()).kind is PacketKind.GOSSIP
+        assert (await remote_listener.received.get()).type is PacketType.GOSSIP
     link.close()
-    assert await other_listener.received.get() is None
-    other.close()
+    assert await remote_listener.received.get() is None
+    remote_link.close()
 
 
-@pytest.mark.parametrize("closed_by", ["this side", "the other side"])
+@pytest.mark.parametrize("closed_by", ["this process", "the other process"])
 async def test_closed_link_is_reported_once_and_releases_all_descriptors(closed_by, sockets, listener):
-    ours, theirs = sockets
+    local_socket, remote_socket = sockets
     before = open_descriptors()
-    link = link_on(ours, listener)
+    link = open_link(local_socket, listener)
     for _ in range(60):
-        link.send(Packet(PacketKind.STATE, bytes(30_000)))
+        link.send(Packet(PacketType.STATE, bytes(30_000)))
     reader, writer = os.pipe()
-    link.send(Packet(PacketKind.CONNECTION, descriptors=[writer]))
-    if closed_by == "this side":
+    link.send(Packet(PacketType.CONNECTION, descriptors=[writer]))
+    if closed_by == "this process":
         link.close()
     else:
-        theirs.close()
+        remote_socket.close()
     assert await listener.received.get() is None
     link.close()
     assert listener.received.empty() and os.read(reader, 1) == b""
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -20,16 +20,15 @@
     async with FakeEndpoint() as endpoint:
         with socket.create_server((HOST, 0)) as probe:
             port = probe.getsockname()[1]
-        platform = config_from(
-            configuration(listen_port=port, known=[endpoint_entry("w1", endpoint.port)]), {}
-        )
-        gateway = Gateway(platform, asyncio.get_running_loop(), ScriptedController())
-        gateway.on_endpoint_list(platform.known)
-        handover = HotRestart(gateway)
-        await handover.find()
+        config = config_from(configuration(listen_port=port, known=[endpoint_entry("w1", endpoint.port)]), {})
+        gateway = Gateway(config, asyncio.get_running_loop(), ScriptedController())
+        gateway.on_endpoint_list(config.known)
+        hot_restart = HotRestart(gateway)
+        await hot_restart.connect_or_serve()
         with socket.create_connection((HOST, port), 5) as sock:
-            sock.sendall(http_request())  # not accepted yet, because nothing was awaited since
-            await handover.close()
+            # The connection stays in the accept queue, because the event loop does not run until `close`.
+            sock.sendall(http_request())
+            await hot_restart.close()
             gateway.drain()
             gateway.frontend.close_idle()
             _, writer = await endpoint.next_request()
@@ -42,7 +41,7 @@
 
 
 @pytest.mark.scripted_controller(endpoint=None)
-async def test_requests_before_a_graceful_shutdown_are_answered_within_it(controller, gateway, client):
+async def test_request_during_shutdown_gets_a_deadline_before_the_planned_end(controller, gateway, client):
     gateway.begin_shutdown(150.0)
     began_ms = gateway.clock.now()
     client.send(http_request(deadline=10_000))
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -7,18 +7,18 @@
 from support.configurations import endpoint_entry
 from support.processes import kill, send_endpoint_list, start_process, until_ready
 
-START_TIMEOUT_S = 30.0  # for a process to be ready
+START_TIMEOUT_S = 30.0  # from the start of a process to its readiness
 
 
 @pytest.fixture
 def process_options():
-    """Options for starting the process, which a test file may override."""
+    """Options of `start_process` for the fixture `process`; a test module may override them."""
     return {}
 
 
 @pytest_asyncio.fixture
 async def process(config_path, port, endpoint, discovery_service, process_options):
-    """A gateway process in service, whose watch at discovery stays open."""
+    """A gateway process that is ready, has one endpoint, and has an open watch at discovery."""
     process = await start_process(config_path, **process_options)
     try:
         async with asyncio.timeout(START_TIMEOUT_S):
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits of a gateway process: threads, memory, descriptors and CPU time."""
+"""Tests of the resources that a gateway process uses: threads, memory, descriptors and CPU time."""
 
 import asyncio
 import contextlib
@@ -23,10 +23,10 @@
     until_ready,
 )
 
-FLEET_SIZE = 1024  # gateways, and endpoints
-MAX_RESIDENT_KB = 96 * 1024  # peak resident memory of a process in a fleet of that size
-MAX_OPEN_DESCRIPTORS = 64  # of that process, without clients
-DESCRIPTOR_LIMIT = 256  # the smallest limit that the platform sets
+FLEET_SIZE = 1024  # number of gateways, and of endpoints
+MAX_RESIDENT_KB = 96 * 1024  # upper limit of the peak resident memory in a fleet of FLEET_SIZE
+MAX_OPEN_DESCRIPTORS = 64  # upper limit of open descriptors in that fleet, without clients
+DESCRIPTOR_LIMIT = 256  # the smallest RLIMIT_NOFILE that the platform sets
 
 
 def peak_resident_kb(process):
@@ -40,8 +40,8 @@
     return (int(user_ticks) + int(system_ticks)) / os.sysconf("SC_CLK_TCK")
 
 
-async def listed_endpoints(admin_port):
-    """Return how many endpoints the process knows, by its metrics."""
+async def endpoints_in_metrics(admin_port):
+    """Return the number of endpoints that the metrics of the process report."""
     client = await TestClient().connect(admin_port)
     response = await client.send(b"GET /_vars HTTP/1.1\r\nHost: h\r\n\r\n").next_response()
     client.close()
@@ -52,7 +52,7 @@
 
 @contextlib.contextmanager
 def idle_clients(port, count):
-    """Begin this many connections, which send nothing."""
+    """Open this many connections, which send nothing, and close them at the end."""
     with contextlib.ExitStack() as stack:
         for _ in range(count):
             sock = stack.enter_context(socket.socket())
@@ -65,13 +65,16 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT))
 
 
-async def test_no_kernel_thread_polls_for_the_process(process, port, endpoint):
+async def test_process_has_no_io_uring_thread(process, port, endpoint):
     await complete_request(endpoint, await TestClient().connect(port))
+    # The names of the kernel threads that poll for io_uring begin with "iou-".
     tasks = pathlib.Path(f"/proc/{process.pid}/task")
     assert not [name for name in tasks.glob("*/comm") if name.read_text().startswith("iou-")]
 
 
-async def test_thousand_peers_and_endpoints_stay_within_the_limits(config_path, port, discovery_service):
+async def test_process_in_a_fleet_of_1024_stays_within_memory_and_descriptor_limits(
+    config_path, port, discovery_service
+):
     endpoints = [endpoint_entry(f"s-{n:08x}", 5000 + n) for n in range(FLEET_SIZE)]
     value = fleet_configuration(
         discovery_service.port,
@@ -95,7 +98,7 @@
 
 
 async def test_idle_clients_leave_descriptors_for_discovery_and_admin_endpoint(tmp_path, port):
-    """At its descriptor limit the process neither ends nor spins, and applies a list in time."""
+    """At its descriptor limit the process keeps running without a busy loop, and applies a list in time."""
     loop = asyncio.get_running_loop()
     admin_port = free_port()
     discovery_port = free_port()
@@ -106,19 +109,19 @@
     process = await start_process(config_path, preexec_fn=limit_descriptors)
     try:
         await until_ready(port)
-        spent_s = cpu_time_s(process)
+        cpu_time_before_s = cpu_time_s(process)
         began_s = loop.time()
         with idle_clients(port, 400):
             while open_descriptors(process) < 100:  # clients may hold 117 at most
                 await asyncio.sleep(0)
-            assert await listed_endpoints(admin_port) == 1
+            assert await endpoints_in_metrics(admin_port) == 1
             async with FakeDiscovery(discovery_port) as discovery_service, asyncio.timeout(6):
                 _, writer = await discovery_service.next_call()
                 change = endpoint_list(*known, endpoint_entry("w2", 7), index=2, snapshot=False)
                 writer.write(json_response(change))
-                while await listed_endpoints(admin_port) != 2:
+                while await endpoints_in_metrics(admin_port) != 2:
                     pass
             assert process.returncode is None
-            assert cpu_time_s(process) - spent_s < 0.5 + (loop.time() - began_s) / 2
+            assert cpu_time_s(process) - cpu_time_before_s < 0.5 + (loop.time() - began_s) / 2
     finally:
         await kill(process)
--- a/tests/process/test_logging.py
+++ b/tests/process/test_logging.py
@@ -1,4 +1,4 @@
-"""Tests of a gateway process whose standard error is not read."""
+"""Tests of a gateway process while the reader of its standard error stalls."""
 
 import asyncio
 import contextlib
@@ -14,8 +14,8 @@
 READ_BYTES = 4096
 
 
-def fill(descriptor):
-    """Write to a pipe until it takes no more, and make it block again."""
+def fill_pipe(descriptor):
+    """Write to a pipe until it is full, and leave it in blocking mode."""
     os.set_blocking(descriptor, False)
     with contextlib.suppress(BlockingIOError):
         while True:
@@ -23,8 +23,8 @@
     os.set_blocking(descriptor, True)
 
 
-def drain_filler(descriptor):
-    """Read what filled the pipe."""
+def read_filler(descriptor):
+    """Read the filler from the pipe."""
     while os.read(descriptor, READ_BYTES) == bytes(READ_BYTES):
         if not select.select([descriptor], [], [], 0)[0]:
             return
@@ -32,9 +32,9 @@
 
 @pytest.fixture
 def full_log_pipe():
-    """The two ends of a full pipe, for reading and writing."""
+    """The read end and the write end of a full pipe."""
     reader, writer = os.pipe()
-    fill(writer)
+    fill_pipe(writer)
     yield reader, writer
     os.close(reader)
     os.close(writer)
@@ -42,13 +42,13 @@
 
 @pytest.fixture
 def process_options(full_log_pipe):
-    """The process logs to the full pipe."""
+    """Connect the standard error of the process to the full pipe."""
     return {"stderr": full_log_pipe[1]}
 
 
-async def test_stalled_log_reader_stops_neither_service_nor_shutdown(process, port, endpoint):
+async def test_stalled_log_reader_blocks_neither_requests_nor_shutdown(process, port, endpoint):
     for _ in range(2):
-        process.send_signal(signal.SIGHUP)  # logs a line
+        process.send_signal(signal.SIGHUP)  # the reload logs a line
         await complete_request(endpoint, await TestClient().connect(port))
     process.send_signal(signal.SIGTERM)
     assert await process.wait() == 0
@@ -58,7 +58,7 @@
     reader, _ = full_log_pipe
     loop = asyncio.get_running_loop()
     output = b""
-    drain_filler(reader)
+    read_filler(reader)
     process.send_signal(signal.SIGHUP)
     while b"configuration reloaded" not in output:
         output += await loop.run_in_executor(None, os.read, reader, READ_BYTES)
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -15,11 +15,11 @@
 from support.http_messages import http_request, http_response, json_response
 from support.processes import READINESS_REQUEST, kill, start_process
 
-SIGNAL_INTERVAL_S = 0.0005
+SIGNAL_INTERVAL_S = 0.0005  # between the signals sent to a process that shuts down
 
 
-async def until_not_ready(port):
-    """Return once the gateway answers that it is not ready."""
+async def wait_until_not_ready(port):
+    """Poll the gateway at this port until it reports that it is not ready."""
     while True:
         client = await TestClient().connect(port)
         response = await client.send(READINESS_REQUEST).next_response()
@@ -34,7 +34,7 @@
     busy.send(http_request())
     _, writer = await endpoint.next_request()
     process.send_signal(signal.SIGTERM)
-    await until_not_ready(port)
+    await wait_until_not_ready(port)
 
     late = await TestClient().connect(port)
     late.send(http_request("00000000000000ac"))
@@ -42,7 +42,7 @@
     late_writer.write(http_response(body=b"late"))
     response = await late.next_response()
     assert response.status_and_body == (200, b"late") and "connection" not in response.headers
-    late.send(http_request())  # on the connection that it has
+    late.send(http_request())  # on the connection that is open already
     _, late_writer = await endpoint.next_request()
     late_writer.write(http_response(body=b"again"))
     assert (await late.next_response()).body == b"again"
@@ -54,7 +54,7 @@
     assert await process.wait() == 0
 
 
-async def test_sighup_moves_the_watch_and_ignores_a_malformed_file(
+async def test_sighup_changes_the_discovery_address_unless_the_file_is_malformed(
     process, port, endpoint, discovery_service, config_path
 ):
     first = config_path.read_text()
@@ -64,7 +64,7 @@
     while b"keeping the current configuration" not in await process.stderr.readline():
         pass
     async with FakeDiscovery() as second, FakeDiscovery() as third, FakeEndpoint() as other:
-        for new in (second, third):  # the second signal comes while the first move is under way
+        for new in (second, third):  # the second address change arrives before the first has been completed
             address = f"{HOST}:{discovery_service.port}"
             config_path.write_text(first.replace(address, f"{HOST}:{new.port}"))
             process.send_signal(signal.SIGHUP)
@@ -100,7 +100,7 @@
     config_path.write_text(json.dumps(configuration(discovery_service.port, port, known=known)))
     process = await start_process(config_path)
     try:
-        await discovery_service.next_call()  # which stays without a response, so it is not ready yet
+        await discovery_service.next_call()  # without a response from discovery the process is not ready yet
         for number in signals:
             process.send_signal(number)
         _, output = await process.communicate()
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -19,14 +19,14 @@
     until_ready,
 )
 
-LARGE_FLEET_SIZE = 230  # gateways
-MAX_START_S = 10.0  # from the start of the process to its readiness
-MAX_UPDATE_S = 6.0  # from discovery's return to the use of a new list
+LARGE_FLEET_SIZE = 230  # number of gateways
+MAX_START_S = 10.0  # upper limit of the time from the start of the process to its readiness
+MAX_UPDATE_S = 6.0  # upper limit of the time from discovery's recovery to the use of a new list
 
 
 @pytest_asyncio.fixture
 async def replacement():
-    """An endpoint that discovery lists later, as w2."""
+    """The endpoint w2, which replaces w1 in the endpoint list."""
     async with FakeEndpoint() as endpoint:
         yield endpoint
 
@@ -39,15 +39,15 @@
     await endpoint.next_request()
     process.kill()
     await process.wait()
-    successor = await start_process(config_path)
+    restarted = await start_process(config_path)
     try:
         while (await discovery_service.next_call()).target != "/discovery/hosts":
-            pass  # the watch of the killed process
-        # The successor's first call has been taken without a response; it times out and calls again.
+            pass  # skip the watch of the killed process
+        # The first call of the new process got no response; it times out, and the process calls again.
         await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
         await until_ready(port)
     finally:
-        await kill(successor)
+        await kill(restarted)
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
     assert process.returncode == 2 and output.count(b"\n") == 1 and name.encode() in output
 
 
-async def test_silent_discovery_does_not_prevent_a_start_with_the_configured_list(
+async def test_process_starts_with_the_configured_list_if_discovery_is_silent(
     config_path, port, endpoint, discovery_service
 ):
     known = [endpoint_entry("w1", endpoint.port)]
@@ -77,7 +77,7 @@
 
 
 async def fail_each_call(discovery_service, fault):
-    """Answer every call with 503, or abort its connection."""
+    """Answer each call with 503 if the fault is `overloaded`, and abort its connection otherwise."""
     while True:
         _, writer = await discovery_service.next_call()
         if fault == "overloaded":
@@ -87,7 +87,7 @@
 
 
 async def replace_endpoint(discovery_service, endpoint, replacement):
-    """Answer calls with a change from one endpoint to the other until the process knows it."""
+    """Answer calls with an update that replaces w1 by w2, until a watch confirms that it was applied."""
     change = endpoint_list(
         endpoint_entry("w1", endpoint.port, "gone"),
         endpoint_entry("w2", replacement.port),
@@ -103,11 +103,11 @@
 
 @pytest.mark.parametrize("discovery", ["automatic", "subscribe"])
 @pytest.mark.parametrize("fault", ["silent", "down", "overloaded", "reset"])
-async def test_gateway_of_a_large_fleet_starts_in_time_whatever_discovery_does(
+async def test_gateway_of_a_large_fleet_starts_in_time_despite_discovery_faults(
     fault, discovery, config_path, port, endpoint, replacement, discovery_service
 ):
-    is_answering = fault in ("overloaded", "reset")
-    failing = asyncio.create_task(fail_each_call(discovery_service, fault)) if is_answering else None
+    is_reachable = fault in ("overloaded", "reset")
+    failing = asyncio.create_task(fail_each_call(discovery_service, fault)) if is_reachable else None
     discovery_port = free_port() if fault == "down" else discovery_service.port
     known = [endpoint_entry("w1", endpoint.port)]
     value = fleet_configuration(discovery_port, port, LARGE_FLEET_SIZE, known=known)
