--- a/tests/compatibility/test_admin.py
+++ b/tests/compatibility/test_admin.py
@@ -1,4 +1,4 @@
-"""Tests of the responses of the admin endpoint, against recordings."""
+"""Tests that compare the responses of the admin endpoint with recordings."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 from gateway.network.process_role import ServicePhase
 
-CALLS = (
+REQUESTS = (
     b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n",
     b"GET /_vars HTTP/1.1\r\nHost: h\r\n\r\n",
     b"GET /nothing HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -20,7 +20,7 @@
 )
 
 
-async def test_admin_calls():
+async def test_admin_responses_match_the_recording():
     async with FakeEndpoint() as endpoint:
         known = [endpoint_entry("w1", endpoint.port), endpoint_entry("w2", 9, "draining")]
         async with RunningGateway(None, known=known) as running_gateway:
@@ -30,7 +30,7 @@
             _, writer = await endpoint.next_request()
             writer.write(http_response())
             await client.next_response()
-            replies = [await raw_response(running_gateway.admin_port, data) for data in CALLS]
+            replies = [await raw_response(running_gateway.admin_port, data) for data in REQUESTS]
             running_gateway.gateway.role.phase = ServicePhase.STARTING
-            replies.append(await raw_response(running_gateway.admin_port, CALLS[0]))
+            replies.append(await raw_response(running_gateway.admin_port, REQUESTS[0]))
             check_json_recording("operators.json", replies)
--- a/tests/compatibility/test_clients.py
+++ b/tests/compatibility/test_clients.py
@@ -1,4 +1,4 @@
-"""Tests of the responses that clients get without an endpoint, against recordings."""
+"""Tests that compare the responses which the gateway itself sends to clients with recordings."""
 
 import asyncio
 
@@ -13,9 +13,9 @@
 
 LOOK_REQUEST = {"path": "/look"}
 READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-SETTLE_S = 0.05  # for the gateway to read pipelined bytes
-
+SETTLE_S = 0.05  # time for the gateway to read a pipelined request
 
+# Invalid requests by their names in the recording.
 BAD_REQUESTS = {
     "no HTTP": b"what is this\r\n\r\n",
     "no path": modified_request(b"GET /look", b"GET look", **LOOK_REQUEST),
@@ -52,21 +52,23 @@
 }
 
 
-async def test_responses_to_each_kind_of_bad_input(running_gateway):
+async def test_responses_to_invalid_requests_match_the_recording(running_gateway):
     responses = {name: await raw_response(running_gateway.port, data) for name, data in BAD_REQUESTS.items()}
     check_json_recording("bad-input.json", responses)
 
 
 class AnsweringController(ScriptedController):
-    """Answers each request by its number: rejects it with and without Retry-After, or fails it."""
+    """Rejects a request without or with Retry-After, or fails it, if its id modulo 3 is 0, 1 or 2."""
 
     def handle(self, now, events):
-        finals = (Reject, lambda number: Reject(number, 1234.5), Fail)
-        return [finals[event.id % 3](event.id) for event in events if isinstance(event, RequestArrived)]
+        answers = (Reject, lambda request_id: Reject(request_id, 1234.5), Fail)
+        return [answers[event.id % 3](event.id) for event in events if isinstance(event, RequestArrived)]
 
 
 @pytest.mark.scripted_controller(factory=AnsweringController)
-async def test_final_answers_without_an_endpoint_and_readiness(running_gateway, gateway):
+async def test_responses_to_rejected_and_failed_requests_and_readiness_match_the_recording(
+    running_gateway, gateway
+):
     port = running_gateway.port
     requests = [http_request(extra=extra) for extra in ("", "", "", "Connection: close\r\n")]
     responses = [await raw_response(port, request) for request in requests]
@@ -76,7 +78,9 @@
     check_json_recording("final-answers.json", responses)
 
 
-async def test_id_in_use_and_pipelined_request(endpoint, running_gateway, client):
+async def test_responses_to_an_id_in_use_and_to_pipelined_requests_match_the_recording(
+    endpoint, running_gateway, client
+):
     client.send(http_request("00000000000000d1"))
     _, writer = await endpoint.next_request()
     responses = [await raw_response(running_gateway.port, http_request("00000000000000d1"))]
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -1,15 +1,16 @@
-"""Tests of the bytes of datagrams between gateways, against recordings."""
+"""Tests that compare the bytes of gossip datagrams with recordings."""
 
 from support.recordings import check_json_recording, check_recording
 
 from gateway.gossip import codec
 
+# The fields of one quota entry of each kind; the kind comes first.
 ENTRY_FIELDS = [
     (kind, 0xDEADBEEF - kind, 77 * kind, 1.25 * kind, 3.5, kind % 3, kind % 4) for kind in range(1, 8)
 ]
 
 
-def test_datagram_with_each_kind_of_entry():
+def test_datagrams_with_each_kind_of_entry_match_the_recording():
     recorded = {}
     for fields in ENTRY_FIELDS:
         kind = codec.EntryKind(fields[0])
@@ -24,7 +25,7 @@
     check_json_recording("datagrams.json", recorded)
 
 
-def test_datagram_at_its_maximum_size():
+def test_datagrams_up_to_the_maximum_size_match_the_recordings():
     entries = [
         codec.QuotaEntry(
             codec.EntryKind(1 + n % 7), n * 0x1234567 & 0xFFFFFFFF, n, n / 16, n / 8, n % 16, n % 16
--- a/tests/compatibility/test_hot_restart.py
+++ b/tests/compatibility/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Tests of the packets between a process and its successor, which all versions share."""
+"""Tests of the packets between a process and its successor, which must not change between versions."""
 
 import asyncio
 import contextlib
@@ -17,13 +17,13 @@
 
 MAX_PACKET_BYTES = 64 * 1024
 MAX_PACKET_DESCRIPTORS = 4
-STATE_CHUNK_BYTES = 1000  # of a recorded state in one packet
+STATE_CHUNK_BYTES = 1000  # size of the parts in which the test sends the recorded state
 POLL_INTERVAL_S = 0.01
-SETTLE_S = 0.05  # for the process to handle a packet that has no response
+SETTLE_S = 0.05  # time for the process to handle a packet that gets no reply
 
 
 async def receive_packet(link):
-    """Return the next packet and its descriptors."""
+    """Return the bytes and the descriptors of the next packet."""
     loop = asyncio.get_running_loop()
     while True:
         with contextlib.suppress(BlockingIOError):
@@ -35,7 +35,7 @@
 
 
 async def receive_state(link):
-    """Return the state in the packets S, and the first packet behind them with its descriptors."""
+    """Return the state from the packets of type S, and the packet after them with its descriptors."""
     state = b""
     while True:
         packet, descriptors = await receive_packet(link)
@@ -46,7 +46,7 @@
 
 @pytest_asyncio.fixture
 async def launch(config_path, tmp_path):
-    """A function that starts a process, which is killed after the test."""
+    """A function that starts a gateway process, which is killed after the test."""
     processes = []
 
     async def launch():
@@ -61,19 +61,21 @@
 
 @pytest.fixture
 def socket_file(tmp_path, port):
-    """The path that both versions use for the socket between processes."""
+    """The path of the socket file, which must be the same in all versions."""
     return tmp_path / f"gatekeeper-{HOST}-{port}"
 
 
 @pytest.fixture
 def link():
-    """A socket of the type that links two processes."""
+    """A socket of the type that two processes of a gateway exchange packets on."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as link:
         yield link
 
 
-async def test_packets_to_a_successor(launch, socket_file, link, port, endpoint, discovery_service):
-    """T is answered by S, G and C; H passes on a peer's datagram."""
+async def test_predecessor_sends_the_packets_that_a_successor_expects(
+    launch, socket_file, link, port, endpoint, discovery_service
+):
+    """The reply to T consists of S, G and C, and the process survives a forwarded datagram (H)."""
     process = await launch()
     await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
     while not socket_file.exists():
@@ -102,10 +104,10 @@
     assert process.returncode is None
 
 
-async def test_predecessor_of_the_last_version_hands_over(
+async def test_successor_takes_over_from_a_predecessor_of_the_previous_version(
     launch, socket_file, link, port, endpoint, discovery_service
 ):
-    """The predecessor sends the packets as recorded, and an idle connection of a client."""
+    """The test, as the predecessor, sends a recorded state, a listening socket and a connection."""
     loop = asyncio.get_running_loop()
     link.bind(str(socket_file))
     link.listen(1)
@@ -127,7 +129,7 @@
         socket.send_fds(successor, [b"G"], [listener.fileno()])
         socket.send_fds(successor, [b"C"], [accepted.fileno()])
         accepted.close()
-        client.send(http_request("00000000000000f2"))  # its id is in use at the predecessor
+        client.send(http_request("00000000000000f2"))  # the state lists this id as in use
         assert (await client.next_response()).status == 409
         client.send(http_request("00000000000000f3"))
         _, writer = await endpoint.next_request()
--- a/tests/compatibility/test_simulated_day.py
+++ b/tests/compatibility/test_simulated_day.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions over a simulated day, against a recording."""
+"""Tests that compare the decisions over a simulated day with a recording."""
 
 import json
 import os
@@ -66,7 +66,7 @@
 RESULTS = ("ok", "ok", "ok", "error", "ok", "full", "ok", "reset", "timeout")
 GATEWAYS = 2
 TURNS = 500
-REQUESTS_IN_FLIGHT = 24  # between a request and its result
+REQUESTS_IN_FLIGHT = 24  # number of requests that arrive between a request and its result
 
 
 def start_lines():
@@ -112,7 +112,7 @@
 
 
 def simulated_day():
-    """Yield the simulator's lines for a day of two gateways, ten endpoints and three classes."""
+    """Yield the simulator's lines for TURNS batches with two gateways, ten endpoints and three classes."""
     yield from start_lines()
     number = 0
     for step in range(TURNS):
@@ -133,23 +133,23 @@
         yield "YOUR_TURN"
 
 
-def test_simulated_day_is_decided_as_recorded():
+def test_decisions_over_a_simulated_day_match_the_recording():
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     command = command.replace(".venv/bin/python", sys.executable)
-    done = subprocess.run(
+    process = subprocess.run(
         ["/bin/sh", "-c", command],
         input="\n".join([*simulated_day(), ""]).encode(),
         cwd=ROOT,
         capture_output=True,
         env={**os.environ, "PYTHONHASHSEED": "random"},
     )
-    assert done.returncode == 0 and not done.stderr
-    check_recording("simulated-day.txt", done.stdout)
+    assert process.returncode == 0 and not process.stderr
+    check_recording("simulated-day.txt", process.stdout)
 
 
 @pytest.mark.scripted_controller(endpoint=None)
 @pytest.mark.parametrize("after_ms", [0.0, 12.5])
-async def test_wake_up_falls_on_the_grid_of_ticks(after_ms, controller, gateway):
+async def test_timer_fires_no_earlier_than_requested(after_ms, controller, gateway):
     controller.pending_actions = [SetTimer(after_ms, "agenda")]
     began_ms = gateway.clock.now()
     gateway.controller_loop.enqueue(TimerFired("begin"))
--- a/tests/compatibility/test_state_transfer.py
+++ b/tests/compatibility/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""Tests of the state that a process hands over, against recordings."""
+"""Tests that compare the state which a process hands over with recordings."""
 
 import json
 
@@ -42,7 +42,7 @@
 
 
 def datagram(step):
-    """Return a datagram with an entry of each kind, and two observations."""
+    """Return a datagram with one quota entry of each kind and two observations of endpoints."""
     entries = [
         codec.QuotaEntry(
             codec.EntryKind(kind),
@@ -63,7 +63,7 @@
 
 
 def attempt_ended(send):
-    """Return the end of an attempt, whose result follows from the request's id."""
+    """Return the event that ends an attempt, with a result that depends on the request's id."""
     result = AttemptResult.OK
     if send.id % 7 == 0:
         result = AttemptResult.ERROR
@@ -75,7 +75,7 @@
 
 
 def busy_controller():
-    """Return a controller whose state has values of every kind, and its time."""
+    """Return a controller whose state has values in all parts, and the time of its last turn."""
     controller = Controller(settings(gateways=2), 7)
     now = 10_000.0
     request_id = 0
@@ -96,7 +96,7 @@
     return controller, now
 
 
-def test_exported_state():
+def test_exported_state_matches_the_recording():
     controller, now = busy_controller()
     state = hot_restart.export_state(controller, now + 5).to_json()
     assert state["accounts"] and state["stores"] and state["servers"]
@@ -104,7 +104,7 @@
     check_json_recording("state.json", state)
 
 
-def test_state_of_the_last_version_is_restored():
+def test_restored_state_of_the_previous_version_matches_the_recording():
     state = json.loads((FIXTURES / "state.json").read_text())
     successor = Controller(settings(gateways=2), 8)
     now = 50_000.0
--- a/tests/compatibility/test_upstream.py
+++ b/tests/compatibility/test_upstream.py
@@ -1,4 +1,4 @@
-"""Tests of the request heads that endpoints get, against recordings."""
+"""Tests that compare the request heads which endpoints receive with recordings."""
 
 import asyncio
 import contextlib
@@ -10,14 +10,15 @@
 from support.running_gateway import RunningGateway
 from support.scripted_controller import ScriptedController
 
-BODY_LIMIT = 256 * 1024  # a larger body is forwarded while it is received
+MAX_BUFFERED_BODY_BYTES = 256 * 1024  # a larger body is forwarded before it has been received completely
 
 
 async def forwarded_heads(requests):
-    """Return the bytes that an endpoint gets for each request, up to the end of the head.
+    """Return the head that the endpoint receives for each request.
 
-    Each request is sent in two parts, the second once the endpoint has the head. Otherwise it would depend on
-    timing whether a large body is complete when it is forwarded, and X-Deadline-Ms with it.
+    Each request is sent in two parts, the second after the endpoint has received the head. If a large request
+    were sent at once, timing would decide whether its body is complete when it is forwarded, and the
+    forwarded X-Deadline-Ms would depend on that.
     """
     heads = asyncio.Queue()
 
@@ -40,7 +41,7 @@
     return received
 
 
-async def test_request_head_at_an_endpoint():
+async def test_forwarded_request_heads_match_the_recording():
     chunked = modified_request(b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\n", **BOOK_REQUEST)
     small = [
         http_request("00000000000000c1", "/look/3?q=%20", extra="Accept: x\r\nContent-Type: text/plain\r\n"),
@@ -49,7 +50,7 @@
         chunked.removesuffix(b"body") + b"4\r\nbody\r\n0\r\n\r\n",
     ]
     large = [
-        http_request("00000000000000c4", "/book", key="k", body=bytes(BODY_LIMIT + 1)),
+        http_request("00000000000000c4", "/book", key="k", body=bytes(MAX_BUFFERED_BODY_BYTES + 1)),
         chunked.removesuffix(b"body").replace(b"e1", b"e2") + b"50000\r\n%s\r\n0\r\n\r\n" % bytes(0x50000),
     ]
     sent = [(data, b"") for data in small] + [(data[:-1], data[-1:]) for data in large]
--- a/tools/standins.py
+++ b/tools/standins.py
@@ -1,9 +1,9 @@
-"""A discovery service and one endpoint on loopback, to try a gateway by hand.
+"""A discovery service and one endpoint on the loopback address, for trying out a gateway by hand.
 
     .venv/bin/python tools/standins.py
 
-writes a configuration, prints the command that starts a gateway with it and the command that sends a request,
-and serves until Ctrl-C.
+The program writes a configuration file, prints a command that starts a gateway with it and a command
+that sends a request, and serves until Ctrl-C.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-HOST = "127.0.0.1"  # address of all servers
-GATEWAY_PORT = 8080  # port of the gateway for clients
+HOST = "127.0.0.1"  # address on which the servers and the gateway listen
+GATEWAY_PORT = 8080  # port on which the gateway accepts clients
 ADMIN_PORT = 9100  # port of the gateway's admin endpoint
-MAX_WATCH_S = 5.0  # time after which a watch ends without a change
-SHORT_WATCH = "timeout_ms=1"  # last query parameter of a watch that has to end at once
+MAX_WATCH_S = 5.0  # seconds after which a watch is answered without a change
+SHORT_WATCH = "timeout_ms=1"  # last query parameter of a watch that must be answered at once
 SETTINGS = {
     "balancers": 1,
     "myNumber": 0,
@@ -38,15 +38,15 @@
 
 
 class QuietHandler(BaseHTTPRequestHandler):
-    """A request handler that writes no log."""
+    """The base class of the handlers; it does not log requests to standard error."""
 
     protocol_version = "HTTP/1.1"
 
     def log_message(self, format: str, *args: object) -> None:
-        """Write no log."""
+        """Do nothing, instead of logging each request."""
 
     def respond(self, body: bytes) -> None:
-        """Send a response with status 200 and this body."""
+        """Send the body in a response with status 200."""
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
@@ -54,15 +54,15 @@
 
 
 class EndpointHandler(QuietHandler):
-    """The handler of the endpoint, which serves every request."""
+    """The handler of the endpoint, which answers every GET request alike."""
 
     def do_GET(self) -> None:
-        """Respond with a fixed body."""
+        """Respond with a constant body."""
         self.respond(b"hello from the endpoint\n")
 
 
 def discovery_handler(endpoint_port: int) -> type[QuietHandler]:
-    """Return the handler of a discovery service whose list has one endpoint and never changes."""
+    """Return the handler class of a discovery service with a constant list of one endpoint."""
     entry = {
         "name": "endpoint-1",
         "address": f"{HOST}:{endpoint_port}",
@@ -74,10 +74,10 @@
     }
 
     class DiscoveryHandler(QuietHandler):
-        """Responds to a poll with the list, and to a watch, after its timeout, without a change."""
+        """Answers a poll with the list at once, and a watch with no change after MAX_WATCH_S."""
 
         def do_GET(self) -> None:
-            """Respond to a poll or a watch."""
+            """Answer a poll or a watch, which has the query parameter `since`."""
             is_watch = "since=" in self.path
             if is_watch and self.path.rpartition("&")[2] != SHORT_WATCH:
                 time.sleep(MAX_WATCH_S)
@@ -88,8 +88,8 @@
     return DiscoveryHandler
 
 
-def serve(handler: type[QuietHandler]) -> int:
-    """Serve in a thread, on a port that the system chooses; return the port."""
+def start_server(handler: type[QuietHandler]) -> int:
+    """Start a server in a background thread, on a free port that the system chooses; return the port."""
     server = ThreadingHTTPServer((HOST, 0), handler)
     server.daemon_threads = True
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -97,9 +97,9 @@
 
 
 def main() -> None:
-    """Serve until Ctrl-C."""
-    endpoint_port = serve(EndpointHandler)
-    discovery_port = serve(discovery_handler(endpoint_port))
+    """Start the servers, write the configuration, print the commands, and wait for Ctrl-C."""
+    endpoint_port = start_server(EndpointHandler)
+    discovery_port = start_server(discovery_handler(endpoint_port))
     config = {
         "name": "gateway-1",
         "listen": f"{HOST}:{GATEWAY_PORT}",
