--- a/gateway/network/admin/endpoint.py
+++ b/gateway/network/admin/endpoint.py
@@ -85,7 +85,7 @@
         """Report on `gateway`; listen nowhere yet."""
         self.gateway = gateway
         self.connections: dict[AdminConnection, None] = {}  # the open connections, oldest first
-        self._handlers = {"/_ready": self._ready, "/_vars": self._vars}
+        self._handlers = {"/_ready": self._respond_readiness, "/_vars": self._respond_metrics}
         self._server: asyncio.Server | None = None
 
     async def open(self, address: tuple[str, int] | None) -> None:
@@ -123,12 +123,12 @@
         """Remove a closed or aborted connection; do nothing if it has been removed already."""
         self.connections.pop(connection, None)
 
-    def _ready(self) -> AdminResponse:
+    def _respond_readiness(self) -> AdminResponse:
         if self.gateway.ready:
             return AdminResponse(HTTPStatus.OK, b"yes\n")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"no\n")
 
-    def _vars(self) -> AdminResponse:
+    def _respond_metrics(self) -> AdminResponse:
         return AdminResponse(HTTPStatus.OK, self.gateway.metrics_text(), CONTENT_TYPE)
 
 
--- a/gateway/network/bound_socket.py
+++ b/gateway/network/bound_socket.py
@@ -23,7 +23,7 @@
         if reuse_port:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(address)
-    except OSError:
+    except OSError as error:
         sock.close()
-        raise
+        raise OSError(error.errno, f"cannot bind to {address[0]}:{address[1]}: {error.strerror}") from error
     return sock
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -12,7 +12,8 @@
 from gateway.gossip.codec import MAX_BYTES
 from gateway.network.bound_socket import bind_socket
 
-# Receiver number that stands for all peers; the datagram goes to the configured address of all peers.
+# Receiver number that stands for all peers. The datagram goes to the configured address that reaches all of
+# them (`Config.peers_all`).
 ALL_PEERS = -1
 
 log = logging.getLogger(__name__)
--- a/gateway/network/hot_restart/client_listener.py
+++ b/gateway/network/hot_restart/client_listener.py
@@ -48,7 +48,7 @@
         """Bind a new socket to the address; raises OSError if the address cannot be used."""
         self._socket = bind_socket(socket.SOCK_STREAM, self._address, reuse_port=self._shares_address)
 
-    def adopt(self, sock: socket.socket) -> None:
+    def adopt_socket(self, sock: socket.socket) -> None:
         """Use the listening socket received from the predecessor, and own it from now on."""
         self._socket = sock
 
--- a/gateway/network/hot_restart/coordinator.py
+++ b/gateway/network/hot_restart/coordinator.py
@@ -75,7 +75,7 @@
             if not self._listener.is_accepting:
                 await self._bind_and_serve()
 
-    async def close(self) -> None:
+    async def close_listeners(self) -> None:
         """Accept no more clients or successors, and close the listening sockets.
 
         Connections in the accept queue are served first, unless a successor accepts them from the shared
--- a/gateway/network/hot_restart/handover_state.py
+++ b/gateway/network/hot_restart/handover_state.py
@@ -17,14 +17,14 @@
 
     request_ids: list[str]  # ids of the requests that are open or have ended recently
     controller_state: GatewayState
-    descriptors: int  # number of file descriptors that the predecessor has open
+    open_descriptors: int  # number of file descriptors that the predecessor has open
 
     def encode(self) -> bytes:
         """Return the state as JSON."""
         state = {
             "names": self.request_ids,
             "module": self.controller_state.to_json(),
-            "held": self.descriptors,
+            "held": self.open_descriptors,
         }
         return json.dumps(state).encode()
 
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -115,7 +115,7 @@
         state = HandoverState(
             request_ids=gateway.requests.ids.to_json(),
             controller_state=controller_state,
-            descriptors=len(os.listdir("/proc/self/fd")),
+            open_descriptors=len(os.listdir("/proc/self/fd")),
         )
         _send_state(link, state.encode())
         self._send_sockets(link)
--- a/gateway/network/hot_restart/successor.py
+++ b/gateway/network/hot_restart/successor.py
@@ -117,7 +117,7 @@
         sockets = [socket.socket(fileno=descriptor) for descriptor in packet.descriptors]
         packet.descriptors.clear()
         gateway = self._gateway
-        descriptors = max(MIN_INITIAL_DESCRIPTORS, gateway.config.sockets - state.descriptors)
+        descriptors = max(MIN_INITIAL_DESCRIPTORS, gateway.config.sockets - state.open_descriptors)
         gateway.take_over(link, state.controller_state, state.request_ids, descriptors)
-        self._listener.adopt(sockets[0])
+        self._listener.adopt_socket(sockets[0])
         gateway.gossip_socket.open(gateway.loop, sockets[1] if len(sockets) > 1 else None)
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -20,14 +20,15 @@
 # serves with the list in its configuration.
 FIRST_LIST_TIMEOUT_S = 0.5
 
-# The platform waits for a grace period after SIGTERM before it sends SIGKILL. The grace period is the longest
-# deadline of all classes, but at most this many seconds, plus GRACE_PERIOD_EXTRA_S.
+# The platform waits at least a grace period after SIGTERM before it sends SIGKILL. The grace period is the
+# longest deadline of all classes, but at most this many seconds, plus GRACE_PERIOD_EXTRA_S.
 MAX_GRACE_PERIOD_DEADLINE_S = 3.0
 
 # Seconds that the platform adds to the longest deadline for the grace period between SIGTERM and SIGKILL.
 GRACE_PERIOD_EXTRA_S = 0.7
 
-# The shutdown is planned to end this many seconds before the grace period does, when SIGKILL may follow.
+# The planned end of the shutdown is this many seconds before the end of the grace period, when SIGKILL may
+# come.
 SHUTDOWN_MARGIN_S = 0.5
 
 # The process starts to close connections after their responses (drains) this many seconds before the planned
@@ -164,7 +165,7 @@
         return self._gateway.has_open_work() or not self._hot_restart.is_retired
 
     async def _finish_open_requests(self) -> None:
-        await self._hot_restart.close()
+        await self._hot_restart.close_listeners()
         self._gateway.drain()
         self._gateway.frontend.close_idle()
         give_up_at_s = self._loop.time() + DRAINING_TIMEOUT_S
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -39,7 +39,9 @@
 EXIT_WIRE_ERROR = 2  # exit code if the input was invalid
 
 _END_OF_REPLIES = "FINISHED"  # the line after the replies to a batch
-# Messages that are invalid within a batch: an ENDPOINT is read together with its ENDPOINT_UPDATE.
+
+# Messages that are invalid within a batch: batches cannot be nested, and each ENDPOINT is read together with
+# its ENDPOINT_UPDATE.
 _INVALID_IN_BATCH = (MessageName.BATCH_START, MessageName.ENDPOINT)
 
 
@@ -81,9 +83,9 @@
     """Runs the controllers of many instances, which share no state."""
 
     def __init__(self, source: Iterator[str], sink: TextIO, error_output: TextIO) -> None:
-        """Read lines from `source`, write replies to `sink`, and report to `error_output`.
+        """Read lines from `source` and write replies to `sink`.
 
-        Only unknown messages are reported, which are skipped.
+        `error_output` gets one line for each name of unknown messages, which are skipped.
         """
         self._messages = parse_messages(source)
         self._sink = sink
--- a/gateway/simulator/fields.py
+++ b/gateway/simulator/fields.py
@@ -12,7 +12,7 @@
 
 NO_VALUE = "-"  # the text of a field that has no value
 
-_RESULTS = {
+_ATTEMPT_RESULTS = {
     "ok": AttemptResult.OK,
     "error": AttemptResult.ERROR,
     "full": AttemptResult.OVERLOADED,
@@ -22,7 +22,7 @@
     "cancelled": AttemptResult.CANCELLED,
     "moot": AttemptResult.NOT_SENT,
 }
-_STATES = {
+_ENDPOINT_STATES = {
     "Running": EndpointState.READY,
     "Stopping": EndpointState.DRAINING,
     "Deleted": EndpointState.REMOVED,
@@ -78,9 +78,9 @@
 
 def parse_attempt_result(text: str) -> AttemptResult:
     """Return the result of an attempt; raises KeyError if it is unknown."""
-    return _RESULTS[text]
+    return _ATTEMPT_RESULTS[text]
 
 
 def parse_endpoint_state(text: str) -> EndpointState:
     """Return the state of an endpoint; raises KeyError if it is unknown."""
-    return _STATES[text]
+    return _ENDPOINT_STATES[text]
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -26,9 +26,10 @@
         hot_restart = HotRestart(gateway)
         await hot_restart.connect_or_serve()
         with socket.create_connection((HOST, port), 5) as sock:
-            # The connection stays in the accept queue, because the event loop does not run until `close`.
+            # The connection stays in the accept queue, because the event loop does not run before
+            # `close_listeners`.
             sock.sendall(http_request())
-            await hot_restart.close()
+            await hot_restart.close_listeners()
             gateway.drain()
             gateway.frontend.close_idle()
             _, writer = await endpoint.next_request()
