--- a/tests/network/hot_restart/test_hot_restart.py
+++ b/tests/network/hot_restart/test_hot_restart.py
@@ -175,7 +175,7 @@
     assert (await deployment.complete_request())[0].status == 200
 
 
-async def test_predecessor_closes_descriptors_of_handed_over_connections(deployment):
+async def test_open_descriptors_of_both_processes_stay_within_twice_the_number_before(deployment):
     old, _ = await deployment.start()
     clients = [await deployment.connect() for _ in range(20)]
     before = open_descriptors(old)
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -64,11 +64,12 @@
     while b"keeping the current configuration" not in await process.stderr.readline():
         pass
     async with FakeDiscovery() as second, FakeDiscovery() as third, FakeEndpoint() as other:
-        for new in (second, third):  # the second address change arrives before the first has been completed
+        # The second change of the address arrives before the first has been completed.
+        for new_discovery in (second, third):
             address = f"{HOST}:{discovery_service.port}"
-            config_path.write_text(first.replace(address, f"{HOST}:{new.port}"))
+            config_path.write_text(first.replace(address, f"{HOST}:{new_discovery.port}"))
             process.send_signal(signal.SIGHUP)
-            target, writer = await new.next_call()
+            target, writer = await new_discovery.next_call()
             assert target == "/discovery/hosts"
         writer.write(json_response(endpoint_list(endpoint_entry("w2", other.port), index=7)))
         assert (await third.next_call()).target.startswith("/discovery/hosts?since=7")
@@ -85,9 +86,9 @@
 async def test_signals_during_shutdown_do_not_change_the_exit_code(process):
     process.send_signal(signal.SIGTERM)
     while process.returncode is None:
-        for number in (signal.SIGHUP, signal.SIGTERM):
+        for signal_number in (signal.SIGHUP, signal.SIGTERM):
             with contextlib.suppress(ProcessLookupError):
-                os.kill(process.pid, number)
+                os.kill(process.pid, signal_number)
         await asyncio.sleep(SIGNAL_INTERVAL_S)
     assert process.returncode == 0
 
@@ -101,8 +102,8 @@
     process = await start_process(config_path)
     try:
         await discovery_service.next_call()  # without a response from discovery the process is not ready yet
-        for number in signals:
-            process.send_signal(number)
+        for signal_number in signals:
+            process.send_signal(signal_number)
         _, output = await process.communicate()
         assert process.returncode == 0 and b": shutdown complete" in output and b"Traceback" not in output
     finally:
