--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the controller's attempts and reports their results as events."""
+"""Starts and cancels attempts for the controller, and reports their results as events."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptRunner:
-    """Starts and cancels attempts; the first successful one of a request is its final answer."""
+    """Starts and cancels attempts; the first successful attempt of a request provides its response."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         attempts: AttemptTable,
         events: EventSink,
     ) -> None:
-        """Send attempts of these requests by the pool, and report their results to `events`."""
+        """Create a runner that sends attempts through `upstreams` and reports their results to `events`."""
         self._clock = clock
         self._upstreams = upstreams
         self._requests = requests
@@ -37,7 +37,10 @@
         self._events = events
 
     def send_attempt(self, action: SendAttempt) -> None:
-        """Start an attempt, unless its request has ended or its client has disconnected."""
+        """Start an attempt, or report it as NOT_SENT if its request is closed or its client has disconnected.
+
+        A disconnect that is detected here closes the request.
+        """
         request = self._requests.open.get(action.id)
         if request is None:
             self._report_not_sent(action, 0)
@@ -49,13 +52,16 @@
             self._start(request, action)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Cancel an attempt, if it is in flight."""
+        """Cancel an attempt; has no effect if it has ended."""
         attempt = self._attempts.get(action.id, action.attempt)
         if attempt is not None:
             attempt.cancel()
 
     def on_request_completed(self, request: OpenRequest, timeout_ms: float) -> None:
-        """Start the timeouts of a request's attempts, now that its last byte has been received."""
+        """Start the timeouts of the attempts of a request whose last byte has just been received.
+
+        Their latency is measured from now on, so it excludes the time that the client took for the upload.
+        """
         now_ms = self._clock.now()
         for attempt in self._attempts.of_request(request):
             attempt.started_ms = now_ms
@@ -82,21 +88,22 @@
             AttemptEnded(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True)
         )
 
-    # -- the attempts' reports (`AttemptObserver`)
+    # -- notifications from attempts (`AttemptObserver`)
 
     def on_response_started(
         self, attempt: UpstreamAttempt, source: ResponseSource, length: int | None, content_type: bytes
     ) -> ResponseSink | None:
-        """Begin to forward a large response.
+        """Start forwarding a response that is too large to be buffered.
 
-        Returns the client, or None if the request has ended or another response is being forwarded.
+        Returns the client, or None if the request is closed or the response of another attempt is being
+        forwarded.
         """
         request = self._requests.open.get(attempt.request_id)
         if request is None or request.streaming_attempt is not None:
             return None
         request.streaming_attempt = attempt.number
         attempt.on_forwarding_started(self._clock.now())
-        # From now on the response ends by itself, or when no progress is made.
+        # From now on stall detection limits the response in place of the deadline.
         if request.guard is not None:
             request.guard.cancel()
         request.client.start_response(source, length, content_type)
@@ -104,7 +111,7 @@
         return request.client
 
     def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
-        """Give the final answer, if this attempt decides it, and report the result."""
+        """Finish the request if the outcome of this attempt decides it, and report the result."""
         self._attempts.remove(attempt)
         request = self._requests.open.get(attempt.request_id)
         is_final = request is None or self._finish_request(request, attempt, outcome)
@@ -123,13 +130,17 @@
     def _finish_request(
         self, request: OpenRequest, attempt: UpstreamAttempt, outcome: AttemptOutcome
     ) -> bool:
-        """Answer an open request if this attempt decides it; return whether it does."""
+        """Respond to the client if the outcome of this attempt decides the request.
+
+        Returns whether it does, which is the case if the attempt's response was being forwarded or if the
+        attempt is the first successful one. Otherwise the controller decides how the request continues.
+        """
         is_successful = outcome.result is AttemptResult.OK
         if request.streaming_attempt == attempt.number:
             self._requests.finish_response(request, is_complete=is_successful)
             return True
         if request.streaming_attempt is None and is_successful:
-            return self._requests.answer(
+            return self._requests.send_response(
                 request, FinalStatus.FULFILLED, HTTPStatus.OK, outcome.body, outcome.content_type
             )
         return False
--- a/gateway/network/attempt_table.py
+++ b/gateway/network/attempt_table.py
@@ -1,4 +1,4 @@
-"""The attempts in flight, also those of requests that have had their final answer."""
+"""The table of attempts in flight, including those of requests that have been closed."""
 
 from __future__ import annotations
 
@@ -7,40 +7,41 @@
 
 
 class AttemptTable:
-    """The attempts in flight, by request and number."""
+    """The attempts in flight, by the number of their request and their number within the request."""
 
     def __init__(self) -> None:
-        """Begin with no attempt."""
+        """Create an empty table."""
         self.in_flight: dict[tuple[int, int], UpstreamAttempt] = {}
 
     def add(self, attempt: UpstreamAttempt) -> None:
-        """Add an attempt that is being started."""
+        """Add an attempt before it is started."""
         self.in_flight[attempt.request_id, attempt.number] = attempt
 
     def remove(self, attempt: UpstreamAttempt) -> None:
-        """Remove an attempt that has ended."""
+        """Remove an attempt that has ended; it has to be in the table."""
         del self.in_flight[attempt.request_id, attempt.number]
 
     def get(self, request_id: int, number: int) -> UpstreamAttempt | None:
-        """Return the attempt of that number, or None if it has ended."""
+        """Return the attempt with this number of a request, or None if it is not in flight."""
         return self.in_flight.get((request_id, number))
 
     def of_request(self, request: OpenRequest) -> list[UpstreamAttempt]:
-        """Return the attempts of a request that are in flight."""
+        """Return the attempts of a request that are in flight, in the order in which they were started."""
         keys = ((request.id, number) for number in range(request.attempts))
         return [self.in_flight[key] for key in keys if key in self.in_flight]
 
     def expire_unsent(self, request: OpenRequest) -> None:
-        """End the attempts of a request that no endpoint has received completely.
+        """Fail the attempts of a closed request that have not been sent completely.
 
-        Attempts that an endpoint has received run on until they end or are cancelled.
+        Attempts that have been sent continue until they end or the controller cancels them. The attempt whose
+        response is being forwarded is not affected.
         """
         for attempt in self.of_request(request):
             if attempt.number != request.streaming_attempt:
                 attempt.expire_if_unsent()
 
     def cancel_streaming(self, request: OpenRequest) -> None:
-        """Cancel the attempt whose response is being forwarded."""
+        """Cancel the attempt of a request whose response is being forwarded, if any."""
         for attempt in self.of_request(request):
             if attempt.number == request.streaming_attempt:
                 attempt.cancel()
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -1,4 +1,4 @@
-"""The table of open requests: each gets exactly one final answer, which is counted once."""
+"""The table of open requests, which ensures that each request gets exactly one response."""
 
 from __future__ import annotations
 
@@ -16,18 +16,25 @@
 from gateway.network.controller_loop import EventSink
 from gateway.network.recent_ids import RecentIds
 
-# Deadline margin, ms: subtracted from the client's deadline, to cover transmission and timer delay.
+# Milliseconds by which the deadline that the controller works with is earlier than the client's deadline. The
+# margin covers the transmission of the response and the delay of timers.
 DEADLINE_MARGIN_MS = 20.0
 
-# Guard margin, ms: time before the client's deadline at which the guard timer answers the request.
+# Milliseconds before the client's deadline at which the guard timer sends a response. It does so if the
+# request is still open then, for example because the controller has failed.
 GUARD_MARGIN_MS = 5.0
 
-# Id memory, ms: interval of rotations; the id of an ended request is known for one to two intervals.
-ID_MEMORY_MS = 2000.0
+# Milliseconds between rotations of the recently used request ids. The id of an ended request is rejected for
+# one to two intervals.
+ID_ROTATION_INTERVAL_MS = 2000.0
 
 
 class RequestTable:
-    """The requests from their acceptance to their final answer, with their guard timers and ids."""
+    """The open requests, with their guard timers and ids.
+
+    A request is open from its acceptance until its response has been sent or its client has disconnected.
+    Each response is counted once.
+    """
 
     def __init__(
         self,
@@ -37,7 +44,7 @@
         attempts: AttemptTable,
         events: EventSink,
     ) -> None:
-        """Begin with no request."""
+        """Create an empty table and start the rotation of request ids."""
         self.open: dict[int, OpenRequest] = {}
         self.ids = RecentIds()
         self._clock = clock
@@ -46,24 +53,28 @@
         self._attempts = attempts
         self._events = events
         self._last_id = 0
-        self._end_ms = math.inf  # time of the clock by which all requests are answered
-        timers.at(clock.now() + ID_MEMORY_MS, self.rotate_ids)
+        self._shutdown_end_ms = math.inf  # clock time by which the shutdown ends
+        timers.at(clock.now() + ID_ROTATION_INTERVAL_MS, self.rotate_ids)
 
     # -- acceptance
 
     def add(self, client: ClientChannel, parsed: ValidatedRequest, received: ReceivedRequest) -> OpenRequest:
-        """Open a request; from now on it is owed one final answer.
+        """Open a request, which has to get exactly one response from now on.
 
-        Raises BadRequestError if its id is in use: a second request of that id would be a duplicate.
+        Raises:
+            BadRequestError: The id belongs to an open or recently ended request, so this one is a duplicate.
         """
         if parsed.id in self.ids:
-            raise BadRequestError("x-request-id is in use", HTTPStatus.CONFLICT)
+            raise BadRequestError(
+                f"x-request-id {parsed.id.decode()} belongs to an open or recently ended request",
+                HTTPStatus.CONFLICT,
+            )
         head = upstream_head(
             parsed,
             received.method,
             received.target,
             received.headers.get(b"content-type"),
-            _framing(received),
+            _framing_field(received),
         )
         self._last_id += 1
         request = OpenRequest(
@@ -77,30 +88,31 @@
             parsed.wait_ms,
         )
         self.open[request.id] = request
-        self.ids.open(parsed.id)
+        self.ids.add_open(parsed.id)
         return request
 
     def deadline_at_ms(self, request: OpenRequest) -> float:
-        """Return the deadline of a request whose last byte has just been received.
+        """Return the clock time of the deadline of a request whose last byte has just been received.
 
-        It is the client's, or the end of this process's shutdown if that is earlier.
+        It is the client's deadline or, if that is earlier, the end of this process's shutdown. The shutdown
+        does not shorten the remaining time below twice DEADLINE_MARGIN_MS.
         """
         now_ms = self._clock.now()
-        return min(now_ms + request.wait_ms, max(self._end_ms, now_ms + 2 * DEADLINE_MARGIN_MS))
+        return min(now_ms + request.wait_ms, max(self._shutdown_end_ms, now_ms + 2 * DEADLINE_MARGIN_MS))
 
     def start_guard_timer(self, request: OpenRequest, deadline_at_ms: float) -> None:
-        """Answer the request shortly before its deadline, whatever the controller does."""
+        """Start the timer that responds with 504 shortly before the deadline if the request is still open."""
         request.guard = self._timers.at(
             deadline_at_ms - GUARD_MARGIN_MS, lambda: self._on_guard_expired(request)
         )
 
     def begin_shutdown(self, end_ms: float) -> None:
-        """Set deadlines of new requests before that time of the clock."""
-        self._end_ms = end_ms
+        """Limit the deadlines of requests received from now on to the clock time `end_ms`."""
+        self._shutdown_end_ms = end_ms
 
-    # -- the final answer
+    # -- responses
 
-    def answer(
+    def send_response(
         self,
         request: OpenRequest,
         outcome: FinalStatus,
@@ -109,18 +121,21 @@
         content_type: bytes = b"",
         retry_after_ms: float = 0.0,
     ) -> bool:
-        """Write the final answer and count it; return False if the request is no longer open."""
-        if not self._close(request):
+        """Send a complete response to the client and count it.
+
+        Returns False without any effect if the request is no longer open.
+        """
+        if not self._close_request(request):
             return False
         self._metrics.on_final_answer(request.class_name, outcome)
         request.client.send_response(status, body, content_type, retry_after_ms)
         return True
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
-        """Answer that the request was not executed and may be retried, if it is open."""
+        """Respond with 503 to a request that was not executed and may be retried, if it is open."""
         request = self.open.get(request_id)
         if request is not None:
-            self.answer(
+            self.send_response(
                 request,
                 FinalStatus.THROTTLED,
                 HTTPStatus.SERVICE_UNAVAILABLE,
@@ -128,14 +143,17 @@
             )
 
     def fail(self, request_id: int) -> None:
-        """Answer that the request failed, if it is open."""
+        """Respond with 502 to a request that failed, if it is open."""
         request = self.open.get(request_id)
         if request is not None:
-            self.answer(request, FinalStatus.FAULTED, HTTPStatus.BAD_GATEWAY)
+            self.send_response(request, FinalStatus.FAULTED, HTTPStatus.BAD_GATEWAY)
 
     def finish_response(self, request: OpenRequest, is_complete: bool) -> None:
-        """End a response that was forwarded while it was received, and count it."""
-        self._close(request)
+        """End and count a response that has been forwarded to the client.
+
+        An incomplete response is aborted, so that the client detects that it is truncated.
+        """
+        self._close_request(request)
         outcome = FinalStatus.FULFILLED if is_complete else FinalStatus.FAULTED
         self._metrics.on_final_answer(request.class_name, outcome)
         if is_complete:
@@ -144,37 +162,43 @@
             request.client.abort_response()
 
     def on_client_disconnected(self, request: OpenRequest) -> None:
-        """Close a request whose client has disconnected, and cancel a response that is being forwarded."""
-        if not self._close(request):
+        """Close a request, report the disconnect, and cancel a response that is being forwarded.
+
+        Has no effect if the request is no longer open.
+        """
+        if not self._close_request(request):
             return
         self._events.enqueue(ClientDisconnected(request.id))
         self._attempts.cancel_streaming(request)
 
-    def _close(self, request: OpenRequest) -> bool:
-        """Remove a request; return False if it is no longer open."""
+    def _close_request(self, request: OpenRequest) -> bool:
+        """Remove a request, stop its guard timer and fail its unsent attempts.
+
+        Returns False without any effect if the request is no longer open.
+        """
         if self.open.pop(request.id, None) is None:
             return False
-        self.ids.end(request.request_id)
+        self.ids.mark_ended(request.request_id)
         if request.guard is not None:
             request.guard.cancel()
         self._attempts.expire_unsent(request)
         return True
 
     def _on_guard_expired(self, request: OpenRequest) -> None:
-        if self.answer(request, FinalStatus.FAULTED, HTTPStatus.GATEWAY_TIMEOUT):
+        if self.send_response(request, FinalStatus.FAULTED, HTTPStatus.GATEWAY_TIMEOUT):
             self._events.enqueue(ClientDisconnected(request.id))
 
-    # -- housekeeping
+    # -- periodic tasks
 
     def rotate_ids(self) -> None:
-        """Forget the ids of requests that had ended before the last rotation; repeats itself."""
-        self._timers.at(self._clock.now() + ID_MEMORY_MS, self.rotate_ids)
+        """Remove the ids of requests that ended before the previous rotation; schedule the next one."""
+        self._timers.at(self._clock.now() + ID_ROTATION_INTERVAL_MS, self.rotate_ids)
         self.ids.rotate()
 
     def drop_disconnected_uploads(self) -> None:
-        """Close the connections of clients that have left during an upload.
+        """Close the connections of clients that have disconnected during an upload.
 
-        While the body of an upload is not read, no event reports that its client has disconnected.
+        While reading of the body is paused, the event loop does not report that the client has disconnected.
         """
         uploading = [request.client for request in self.open.values() if request.upload is not None]
         for client in uploading:
@@ -182,8 +206,8 @@
                 client.drop()
 
 
-def _framing(received: ReceivedRequest) -> bytes | None:
-    """Return the header field that gives the length of the body; None if the request has no body."""
+def _framing_field(received: ReceivedRequest) -> bytes | None:
+    """Return the header field that frames the body in attempts; None if the request has no body."""
     if received.upload is not None:
         return received.upload.framing
     if received.method != b"GET":
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -16,7 +16,7 @@
 from gateway.network.request_table import (
     DEADLINE_MARGIN_MS,
     GUARD_MARGIN_MS,
-    ID_MEMORY_MS,
+    ID_ROTATION_INTERVAL_MS,
     RequestTable,
 )
 
@@ -119,7 +119,7 @@
 
 
 def answer_ok(site, request):
-    return site.table.answer(request, FinalStatus.FULFILLED, 200, b"body")
+    return site.table.send_response(request, FinalStatus.FULFILLED, 200, b"body")
 
 
 FINAL_ANSWERS = {
@@ -196,8 +196,8 @@
     assert rejected.value.status == 409 and list(site.table.open) == [request.id]
     assert site.add(b"r2").id != request.id
     site.table.fail(request.id)
-    site.timers.advance(ID_MEMORY_MS)
+    site.timers.advance(ID_ROTATION_INTERVAL_MS)
     with pytest.raises(BadRequestError):
         site.add(b"r1")
-    site.timers.advance(ID_MEMORY_MS)
+    site.timers.advance(ID_ROTATION_INTERVAL_MS)
     assert site.add(b"r1").request_id == b"r1"
