--- a/gateway/network/discovery/backoff.py
+++ b/gateway/network/discovery/backoff.py
@@ -9,8 +9,9 @@
 # discovery may have been reachable, the delay after this call, and the next call.
 MAX_LIST_STALENESS_S = 5.7
 CALL_TIMEOUT_S = 2.2  # timeout in seconds of a call that does not wait for a change
-WATCH_TIMEOUT_MS = 5000  # milliseconds for which a watch waits for a change, in a fleet of SMALL_FLEET_SIZE
-SMALL_FLEET_SIZE = 5  # maximum number of gateways in a fleet that neither extends watches nor spreads retries
+# Milliseconds for which a watch waits for a change, in a fleet of at most SMALL_FLEET_SIZE gateways.
+WATCH_TIMEOUT_MS = 5000
+SMALL_FLEET_SIZE = 5  # number of gateways up to which a fleet neither extends watches nor spreads retries
 MAX_WATCH_TIMEOUT_FACTOR = 8.0  # maximum factor by which a larger fleet extends WATCH_TIMEOUT_MS
 INITIAL_BACKOFF_S = 0.02  # seconds of backoff after the first failed call; doubles with each further failure
 MAX_BACKOFF_S = 0.5  # maximum backoff in seconds, before jitter
@@ -20,8 +21,8 @@
 MAX_BACKOFF_JITTER = 1.5  # largest random factor that is applied to the backoff
 # The retries of a fleet are spread over an interval of this many seconds per gateway beyond SMALL_FLEET_SIZE.
 SPREAD_PER_GATEWAY_S = 0.8
-# Initial value that replaces SPREAD_PER_GATEWAY_S until a call has succeeded; doubles with each failure. It
-# is smaller because the configured endpoint list may be outdated.
+# Seconds per gateway that replace SPREAD_PER_GATEWAY_S until a call has succeeded. The value doubles with
+# each failure. It starts smaller because the configured endpoint list may be outdated.
 INITIAL_SPREAD_PER_GATEWAY_S = 0.25
 # Fraction of the spread interval before which neither the second nor a later retry after a success is made.
 MIN_RETRY_JITTER = 0.8
--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -28,8 +28,10 @@
 # Milliseconds for which the first watch and the first watch after a failure wait for a change. If discovery
 # is unresponsive, a longer watch would detect it later.
 SHORT_WATCH_TIMEOUT_MS = 1
-WATCH_GRACE_S = 1.0  # seconds for the response to a watch beyond the time for which it waits for a change
-MIN_WATCH_INTERVAL_S = 0.05  # delay in seconds after a watch that responds at once without a change
+# Seconds beyond the time for which a watch waits for a change after which a missing response is a failure.
+WATCH_GRACE_S = 1.0
+# Delay in seconds after a watch that ends without a change in less than this time; it limits the call rate.
+MIN_WATCH_INTERVAL_S = 0.05
 RESTART_DELAY_S = 0.5  # delay in seconds before the watch is restarted after an internal error
 # Maximum backoff for pushed lists as a fraction of the drain grace period. The gateway has to know that an
 # endpoint is draining before the grace period ends.
@@ -80,14 +82,16 @@
         self._client = DiscoveryClient(address)
         self._drain_memory = DrainMemory(known_index or 0)
         self._is_failure_logged = False  # whether a failure has been logged since the last successful call
-        self._was_last_call_rejected = (
-            False  # whether the previous call failed for a reason other than a timeout
-        )
+        # Whether the previous call failed for a reason other than a timeout.
+        self._was_last_call_rejected = False
         self._address_changed = asyncio.Event()
         self.list_received = asyncio.Event()  # set when the first call succeeds
 
     def set_address(self, address: Address) -> None:
-        """Cancel the call in progress and continue at another address, beginning with a snapshot."""
+        """Cancel the call in progress and continue at this address, beginning with a snapshot.
+
+        Has no effect if the address is unchanged.
+        """
         if address == self._address:
             return
         self._address = address
@@ -199,10 +203,10 @@
         return self._backoff.next_delay_s(reachable_s)
 
     def _may_have_been_reachable(self, elapsed_s: float) -> bool:
-        """Return whether to assume that discovery was reachable since the start of a call without a timeout.
+        """Return whether discovery is assumed reachable since the start of a call that did not time out.
 
-        If it is true, the next call is made earlier. That gains nothing if the previous call was rejected as
-        well. It is also false for a call longer than CALL_TIMEOUT_S: only a watch lasts that long, and its
+        If so, the next call is made earlier. This gains nothing if the previous call was rejected as well.
+        It does not apply to a call longer than CALL_TIMEOUT_S either: only a watch lasts that long, and its
         failure shows when discovery became unreachable.
         """
         return not self._was_last_call_rejected and elapsed_s <= CALL_TIMEOUT_S
--- a/gateway/network/upstream/attempt.py
+++ b/gateway/network/upstream/attempt.py
@@ -93,9 +93,10 @@
     ) -> None:
         """Create an attempt that `UpstreamPool.start_attempt` sends.
 
-        `number` counts the attempts of a request from 0. `message` is the complete request or, if `upload`
-        forwards the body, the head of the request. `send_by_ms` is the clock time before which the last byte
-        has to be sent.
+        `request_id` is the number of the request in this process, not the client's X-Request-Id, and `number`
+        counts the attempts of the request from 0. `message` is the complete request or, if `upload` forwards
+        the body, the head of the request. `send_by_ms` is the clock time before which the last byte has to be
+        sent.
         """
         self.request_id = request_id
         self.number = number
@@ -146,7 +147,7 @@
     def latency_ms(self, now_ms: float) -> float:
         """Return the latency of the attempt in milliseconds.
 
-        It ends when forwarding of the response begins, or now if the response is not forwarded.
+        It ends at `now_ms` or, if the response is forwarded, when forwarding began.
         """
         return (self.response_started_ms or now_ms) - self.started_ms
 
