--- a/tests/network/upstream/test_attempts.py
+++ b/tests/network/upstream/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of the ends of attempts at an endpoint."""
+"""Tests of the conditions under which attempts end, and of their results."""
 
 import asyncio
 
@@ -39,7 +39,7 @@
         (attempt,) = running_gateway.gateway.attempts.in_flight.values()
         while attempt.connection is None:
             await asyncio.sleep(0)
-        attempt.connection.pause_writing()  # as the transport does while bytes are unwritten
+        attempt.connection.pause_writing()  # as the transport does while its write buffer is full
         asyncio.get_running_loop().call_soon(writer.transport.abort)
         outcome = await controller.next_event(AttemptEnded)
         assert outcome.result is AttemptResult.CONNECT_FAILED
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("end", ["client disconnects", "guard answers", "other attempt answers"])
-async def test_attempt_waiting_for_a_connection_ends_with_its_request(
+async def test_attempt_waiting_for_a_connection_is_not_sent_after_the_end_of_its_request(
     end, endpoint, controller, gateway, client
 ):
     deadline = 60 if end == "guard answers" else 10_000
@@ -108,7 +108,10 @@
 
 
 def set_send_deadline(controller, gateway, in_ms):
-    """Let the controller send with a deadline this many ms ahead, and return that time."""
+    """Set the send deadline of the attempts that the controller starts, and return its clock time.
+
+    The deadline is `in_ms` milliseconds from now.
+    """
     controller.send_by_ms = gateway.clock.now() + in_ms
     return controller.send_by_ms
 
@@ -118,22 +121,20 @@
     connects, endpoint, controller, gateway, client
 ):
     due, release = hold_connections(gateway)
-    until_ms = set_send_deadline(controller, gateway, 5_000 if connects else 20)
+    deadline_at_ms = set_send_deadline(controller, gateway, 5_000 if connects else 20)
     client.send(http_request())
     await due.wait()
     if connects:
-        gateway.upstreams.clock = type("Late", (), {"now": staticmethod(lambda: until_ms + 0.01)})
+        gateway.upstreams.clock = type("LateClock", (), {"now": staticmethod(lambda: deadline_at_ms + 0.01)})
         release.set()
     assert (await client.next_response()).status == 502
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.NOT_SENT
     assert gateway.upstreams._connection_count == 0
     if connects:
-        assert (await endpoint.next_request()).is_disconnect  # without a request before
+        assert (await endpoint.next_request()).is_disconnect  # no request was sent on the connection
 
 
-async def test_attempt_carried_out_after_its_send_deadline_is_not_written(
-    endpoint, controller, gateway, client
-):
+async def test_attempt_started_after_its_send_deadline_is_not_written(endpoint, controller, gateway, client):
     await complete_request(endpoint, client)
     set_send_deadline(controller, gateway, -0.01)
     client.send(http_request())
@@ -152,7 +153,7 @@
     _, writer = await endpoint.next_request()
     (attempt,) = gateway.attempts.in_flight.values()
     if blocked:
-        attempt.connection.pause_writing()  # as the transport does while bytes are unwritten
+        attempt.connection.pause_writing()  # as the transport does while its write buffer is full
         assert (await endpoint.next_request()).is_disconnect
     else:
         attempt.expire_if_unsent()
--- a/tests/network/upstream/test_endpoint_registry.py
+++ b/tests/network/upstream/test_endpoint_registry.py
@@ -7,8 +7,8 @@
 from gateway.network.upstream.endpoint_registry import EndpointRegistry
 
 
-def entry(name, port=5001, state=EndpointState.READY, started_ms=1000.0):
-    return EndpointEntry(Endpoint(name, "a", 0, state, 1.0, started_ms), ("127.0.0.1", port))
+def entry(endpoint_id, port=5001, state=EndpointState.READY, started_ms=1000.0):
+    return EndpointEntry(Endpoint(endpoint_id, "a", 0, state, 1.0, started_ms), ("127.0.0.1", port))
 
 
 def snapshot(*entries):
@@ -54,32 +54,32 @@
 
 @pytest.mark.parametrize("change", [{"port": 5009}, {"started_ms": 2000.0}])
 def test_restarted_or_moved_endpoint_is_registered_anew(change, registry):
-    before = registry.endpoints["w1"]
+    registered = registry.endpoints["w1"]
     assert registry.update(incremental(entry("w1", **change))) == []
-    assert before.is_retired
-    assert registry.endpoints["w1"] is not before
+    assert registered.is_retired
+    assert registry.endpoints["w1"] is not registered
 
 
-def test_listed_again_endpoint_keeps_its_connections(registry):
-    before = registry.endpoints["w1"]
-    again = entry("w1")
-    registry.update(incremental(again))
-    assert registry.endpoints["w1"] is before
-    assert not before.is_retired
-    assert before.entry is again
+def test_endpoint_that_is_listed_again_keeps_its_connections(registry):
+    registered = registry.endpoints["w1"]
+    listed_again = entry("w1")
+    registry.update(incremental(listed_again))
+    assert registry.endpoints["w1"] is registered
+    assert not registered.is_retired
+    assert registered.entry is listed_again
 
 
 @pytest.mark.parametrize(("started_ms", "is_displaced"), [(999.0, False), (1000.0, True), (5000.0, True)])
 def test_endpoint_is_displaced_by_one_at_its_address_that_started_no_earlier(
     started_ms, is_displaced, registry
 ):
-    before = registry.endpoints["w1"]
+    registered = registry.endpoints["w1"]
     displaced = registry.update(incremental(entry("w9", started_ms=started_ms)))
-    assert displaced == ([before.entry] if is_displaced else [])
-    assert before.is_retired is is_displaced
+    assert displaced == ([registered.entry] if is_displaced else [])
+    assert registered.is_retired is is_displaced
     assert ("w1" in registry.endpoints) is not is_displaced
 
 
-def test_draining_endpoint_displaces_none(registry):
+def test_draining_endpoint_displaces_no_other_endpoint(registry):
     assert registry.update(incremental(entry("w9", state=EndpointState.DRAINING))) == []
     assert list(registry.endpoints) == ["w1", "w2"]
--- a/tests/network/upstream/test_endpoint_updates.py
+++ b/tests/network/upstream/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Tests of changes of the endpoint list."""
+"""Tests of the effect of endpoint list changes on connections and attempts."""
 
 import pytest
 from support.configurations import endpoint_entry, endpoint_list
@@ -15,14 +15,14 @@
     change = endpoint_list(endpoint_entry("w2", endpoint.port, since_ms=5000), index=2, snapshot=False)
     gateway.on_endpoint_list(endpoint_list_from(change, "list"))
     update = await controller.next_event(EndpointUpdate)
-    assert [(one.id, one.state) for one in update.endpoints] == [
+    assert [(updated.id, updated.state) for updated in update.endpoints] == [
         ("w2", EndpointState.READY),
         ("w1", EndpointState.REMOVED),
     ]
     assert (await endpoint.next_request()).is_disconnect and list(gateway.upstreams.registry.endpoints) == [
         "w2"
     ]
-    assert (await client.send(http_request()).next_response()).status == 502  # the controller names w1
+    assert (await client.send(http_request()).next_response()).status == 502  # the controller sends to w1
 
 
 @pytest.mark.parametrize("fields", [{"status": "draining"}, {"status": "gone"}, {"since_ms": 1000}])
--- a/tests/network/upstream/test_exchange.py
+++ b/tests/network/upstream/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of one exchange: buffering, forwarding and the outcome, without a socket."""
+"""Tests of buffering, forwarding and the outcome of one exchange, without a socket."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 class FakeSink:
-    """Keeps the parts that are forwarded."""
+    """A client that records the forwarded parts."""
 
     transport = None
 
@@ -28,7 +28,7 @@
 
 
 class FakeAttempt:
-    """An attempt whose response is wanted as long as there is a sink."""
+    """An attempt that records calls of `start_forwarding` and rejects large responses if it has no sink."""
 
     def __init__(self, sink):
         self.sink = sink
@@ -77,7 +77,7 @@
         (b"HTTP/1.1 201 X\r\nContent-Type: a/b\r\n", AttemptOutcome(AttemptResult.ERROR)),
     ],
 )
-def test_complete_response_has_its_outcome(head, outcome, exchange, attempt):
+def test_complete_response_determines_the_outcome(head, outcome, exchange, attempt):
     assert exchange.receive(head + b"Content-Length: 4\r\n\r\nbo") is ExchangeState.RECEIVING
     assert exchange.receive(b"dy") is ExchangeState.COMPLETE
     assert outcome_of(exchange) == outcome
@@ -103,7 +103,7 @@
     assert exchange.receive(b"noise\r\n") is ExchangeState.FAILED
 
 
-def test_response_without_length_is_completed_by_the_end_of_the_connection(exchange):
+def test_close_delimited_response_is_completed_by_the_close_of_the_connection(exchange):
     exchange.receive(OK + b"\r\nbody")
     assert exchange.is_close_delimited
     exchange.receive_eof()
@@ -112,7 +112,7 @@
     assert not exchange.is_reusable
 
 
-def test_response_with_length_is_not_completed_by_the_end_of_the_connection(exchange):
+def test_response_with_length_is_not_completed_by_the_close_of_the_connection(exchange):
     exchange.receive(OK + b"Content-Length: 9\r\n\r\nbody")
     assert not exchange.is_close_delimited
     exchange.receive_eof()
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(("excess", "is_forwarded"), [(0, False), (1, True)])
-def test_body_of_known_length_is_forwarded_from_its_first_part_where_it_is_large(
+def test_body_of_known_length_is_forwarded_from_its_first_part_if_it_exceeds_the_buffer(
     excess, is_forwarded, exchange, attempt, sink
 ):
     length = MAX_BUFFERED_BYTES + excess
@@ -157,7 +157,7 @@
     assert attempt.started == []
 
 
-def test_large_response_that_is_not_wanted_fails(exchange, attempt):
+def test_large_response_that_the_attempt_rejects_fails(exchange, attempt):
     attempt.sink = None
     length = MAX_BUFFERED_BYTES + 1
     data = OK + b"Content-Length: %d\r\n\r\n" % length + bytes(length)
--- a/tests/network/upstream/test_load_report.py
+++ b/tests/network/upstream/test_load_report.py
@@ -1,4 +1,4 @@
-"""Tests of the load report's parser."""
+"""Tests of the load report parser."""
 
 import json
 import math
@@ -54,7 +54,7 @@
     assert LoadReportParser(FIELDS).parse(text) == ()
 
 
-def test_report_is_ignored_where_no_fields_are_configured():
+def test_report_is_ignored_if_no_fields_are_configured():
     assert LoadReportParser(()).parse(b'{"util":0.5}') == ()
 
 
--- a/tests/network/upstream/test_pool.py
+++ b/tests/network/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of connections to endpoints, and of their reuse."""
+"""Tests of opening, reusing and closing connections to endpoints."""
 
 import asyncio
 
@@ -40,7 +40,9 @@
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.CONNECT_FAILED
 
 
-async def test_connection_attempt_is_abandoned_after_its_timeout(controller, gateway, client):
+async def test_connection_not_established_in_time_ends_the_attempt_as_connect_failed(
+    controller, gateway, client
+):
     async def never_connect(*_):
         await asyncio.get_running_loop().create_future()
 
@@ -55,14 +57,14 @@
     upstreams = gateway.upstreams
     (connection,) = upstreams.registry.endpoints["w1"].idle
     connection.idle_since_ms -= REUSE_DELAY_MS
-    connection.transport.pause_reading()  # as if the event loop had not read them
+    connection.transport.pause_reading()  # keeps the bytes unread until the request is sent
     writer.write(http_response(body=b"twice"))
     while not connection.has_unread_input():
         await asyncio.sleep(0)
     client.send(http_request())
-    ended, again = await endpoint.next_request(), await endpoint.next_request()
-    _, other = ended if ended[0] is not None else again
-    other.write(http_response(body=b"own"))
+    first, second = await endpoint.next_request(), await endpoint.next_request()
+    _, writer = first if first[0] is not None else second
+    writer.write(http_response(body=b"own"))
     assert (await client.next_response()).body == b"own" and endpoint.connection_count == 2
 
 
@@ -76,9 +78,9 @@
 
 
 async def test_late_duplicate_response_is_not_the_next_response(endpoint, gateway, client):
-    """The duplicate arrives after the next request has been sent."""
+    """The duplicate arrives on its connection after the next request has been sent."""
     now_ms = gateway.clock.now()
-    gateway.upstreams.clock = type("Still", (), {"now": staticmethod(lambda: now_ms)})
+    gateway.upstreams.clock = type("StoppedClock", (), {"now": staticmethod(lambda: now_ms)})
     client.send(http_request())
     _, first = await endpoint.next_request()
     first.write(http_response(body=b"first"))
@@ -92,7 +94,7 @@
     assert (await endpoint.next_request()).is_disconnect  # the connection of the duplicate
 
 
-async def test_idle_connection_closed_by_the_endpoint_is_dropped_at_once(endpoint, gateway, client):
+async def test_idle_connection_closed_by_the_endpoint_is_removed_at_once(endpoint, gateway, client):
     writer = await complete_request(endpoint, client)
     writer.close()
     assert (await endpoint.next_request()).is_disconnect
@@ -112,7 +114,7 @@
     assert endpoint.connection_count == 2
 
 
-async def test_connections_to_one_endpoint_are_limited(
+async def test_attempt_beyond_the_connection_limit_of_its_endpoint_ends_as_connect_failed(
     monkeypatch, endpoint, controller, gateway, running_gateway, client
 ):
     monkeypatch.setattr("gateway.network.upstream.endpoint.MAX_CONNECTIONS_PER_ENDPOINT", 1)
@@ -128,6 +130,6 @@
     await complete_request(endpoint, client)
     upstreams = gateway.upstreams
     now = upstreams.clock.now()
-    upstreams.clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
-    upstreams._sweep()  # 18 s of the endpoint's 30 s, less the interval of the sweep
+    upstreams.clock = type("LaterClock", (), {"now": staticmethod(lambda: now + 17_500)})
+    upstreams._sweep()  # closes after 60 % of the endpoint's 30 s, less the sweep interval of 1 s
     assert (await endpoint.next_request()).is_disconnect
--- a/tests/network/upstream/test_request_writer.py
+++ b/tests/network/upstream/test_request_writer.py
@@ -12,7 +12,7 @@
 
 
 class FakeTransport:
-    """Keeps the written bytes; `on_write` is called during each write."""
+    """A transport that records the written bytes and calls `on_write`, if set, during each write."""
 
     def __init__(self):
         self.data = b""
@@ -24,7 +24,8 @@
             self.on_write()
 
 
-def apply(writer, step):
+def apply_step(writer, step):
+    """Call the method of the writer that the step names."""
     if step is PART:
         writer.write_part(b"p")
     elif step is LAST:
@@ -53,7 +54,7 @@
         ([LAST, FULL, EMPTY], WriterState.WRITTEN, False, 1),
     ],
 )
-def test_steps_lead_to_their_state(steps, state, blocked, written):
+def test_sequence_of_steps_leads_to_the_expected_state(steps, state, blocked, written):
     metrics = Metrics([])
     transport = FakeTransport()
     writer = RequestWriter(transport, metrics)
@@ -61,7 +62,7 @@
     assert writer.is_unsent
     writer.start_request()
     for step in steps:
-        apply(writer, step)
+        apply_step(writer, step)
     assert writer.state is state
     assert writer.blocked is blocked
     assert writer.is_unsent is (state is not WriterState.WRITTEN)
@@ -80,7 +81,7 @@
     assert metrics.relayed == 0
 
 
-def test_second_request_is_counted_as_well():
+def test_each_sent_request_is_counted():
     metrics = Metrics([])
     writer = RequestWriter(FakeTransport(), metrics)
     for _ in range(2):
--- a/tests/network/upstream/test_response_reader.py
+++ b/tests/network/upstream/test_response_reader.py
@@ -29,7 +29,7 @@
 
 
 def read(*inputs):
-    """Return the events of these inputs, and the reader."""
+    """Feed these inputs to a new reader; return the resulting events and the reader."""
     reader = ResponseReader()
     events = [event for data in inputs for event in reader.feed(data)]
     return events, reader
@@ -108,7 +108,7 @@
         ),
     ],
 )
-def test_input_yields_its_events_and_the_next_state(data, events, state):
+def test_input_produces_the_expected_events_and_state(data, events, state):
     read_events, reader = read(data)
     assert read_events == events
     assert reader.state is state
@@ -155,7 +155,7 @@
         ),
     ],
 )
-def test_malformed_response_ends_with_its_reason(data, events):
+def test_malformed_response_is_reported_with_its_reason(data, events):
     read_events, reader = read(data)
     assert read_events == events
     assert reader.state is ReaderState.MALFORMED
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("value", [b"-1", b"x", b"4.0", b"0x4", b"99999999999999999999999"])
-def test_content_length_that_is_no_decimal_number_is_malformed(value):
+def test_content_length_that_is_not_a_decimal_number_is_malformed(value):
     events, _ = read(OK + b"Content-Length: %s\r\n\r\nbody" % value)
     assert len(events) == 1
     assert isinstance(events[0], MalformedResponse)
@@ -232,13 +232,13 @@
         (OK + b"Connection: close\r\n\r\nbody", ResponseEnd(keep_alive=False)),
     ],
 )
-def test_end_of_the_connection_ends_a_response_without_length(data, end):
+def test_close_of_the_connection_ends_only_a_close_delimited_response(data, end):
     _, reader = read(data)
     assert reader.feed_eof() == end
     assert reader.feed_eof() is None
 
 
-def joined(events):
+def join_body_parts(events):
     """Return the events with adjacent body parts joined."""
     result = []
     for event in events:
@@ -255,7 +255,7 @@
 
 @st.composite
 def framed_responses(draw):
-    """A response with a random framing of a random body, valid or nearly so."""
+    """A response with a random body and a random framing, which may be malformed."""
     body = draw(st.binary(max_size=60))
     status = draw(st.sampled_from([200, 200, 204, 304, 429, 500, 503]))
     fields = draw(
@@ -286,36 +286,36 @@
 
 
 @st.composite
-def streams(draw):
-    """What an endpoint may send: interim responses, a response, and bytes behind it."""
+def endpoint_streams(draw):
+    """A byte stream from an endpoint: interim responses, a response, and possibly bytes after it."""
     interim = draw(
         st.lists(st.sampled_from([INTERIM, INTERIM_WITH_BODY, b"HTTP/1.1 100 Continue\r\n\r\n"]), max_size=2)
     )
-    behind = draw(st.one_of(st.just(b""), st.binary(max_size=10), framed_responses()))
-    return b"".join(interim) + draw(framed_responses()) + behind
+    trailing = draw(st.one_of(st.just(b""), st.binary(max_size=10), framed_responses()))
+    return b"".join(interim) + draw(framed_responses()) + trailing
 
 
 @settings(max_examples=300, deadline=None)
-@given(streams(), st.data())
-def test_any_split_of_the_same_bytes_yields_the_same_events(stream, data):
+@given(endpoint_streams(), st.data())
+def test_any_split_of_the_same_bytes_produces_the_same_events(stream, data):
     cuts = data.draw(st.lists(st.integers(0, len(stream)), max_size=8).map(sorted))
     edges = [0, *cuts, len(stream)]
     parts = [stream[start:end] for start, end in itertools.pairwise(edges) if start < end]
     events, reader = read(stream)
     split_events, split_reader = read(*parts)
-    assert joined(split_events) == joined(events)
+    assert join_body_parts(split_events) == join_body_parts(events)
     assert split_reader.state is reader.state
     assert split_reader.feed_eof() == reader.feed_eof()
 
 
 @settings(max_examples=100, deadline=None)
-@given(streams())
-def test_single_bytes_yield_the_same_events(stream):
-    assert joined(read(*(bytes([byte]) for byte in stream))[0]) == joined(read(stream)[0])
+@given(endpoint_streams())
+def test_input_of_single_bytes_produces_the_same_events(stream):
+    assert join_body_parts(read(*(bytes([byte]) for byte in stream))[0]) == join_body_parts(read(stream)[0])
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.binary(min_size=1, max_size=40), max_size=6))
-def test_any_bytes_are_read_without_an_error(inputs):
+def test_any_bytes_are_read_without_an_exception(inputs):
     events, _ = read(*inputs)
     assert sum(isinstance(event, MalformedResponse) for event in events) <= 1
--- a/tests/network/upstream/test_responses.py
+++ b/tests/network/upstream/test_responses.py
@@ -1,4 +1,4 @@
-"""Tests of the responses of endpoints, and of the results that attempts have by them."""
+"""Tests of endpoint responses and of the attempt results that follow from them."""
 
 import asyncio
 import socket
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("end", ["in order", "reset"])
 @pytest.mark.parametrize("size", [6, 40_000])
-async def test_response_without_length_that_is_reset_is_incomplete(size, end):
+async def test_close_delimited_response_is_complete_unless_it_is_reset(size, end):
     loop = asyncio.get_running_loop()
     with socket.create_server((HOST, 0)) as server:
         server.setblocking(False)
@@ -58,7 +58,7 @@
             client.send(http_request())
             sock, _ = await loop.sock_accept(server)
             await loop.sock_recv(sock, 4096)
-            # The bytes and the end of the connection are there before the event loop reads either.
+            # The event loop reads the bytes only after the end of the connection is pending as well.
             sock.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * size)
             if end == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -103,7 +103,7 @@
     _, writer = await endpoint.next_request()
     writer.write(malformed)
     outcome = asyncio.ensure_future(controller.next_event(AttemptEnded))
-    while not outcome.done():  # interim responses go on without end
+    while not outcome.done():  # the endpoint sends interim responses until the attempt ends
         if malformed.startswith(b"HTTP/1.1 10") and not writer.is_closing():
             writer.write(malformed)
         await asyncio.sleep(0)
@@ -112,7 +112,7 @@
     assert (await endpoint.next_request()).is_disconnect
 
 
-async def test_bytes_behind_a_complete_response_do_not_change_it(endpoint, controller, client):
+async def test_bytes_after_a_complete_response_do_not_change_it(endpoint, controller, client):
     client.send(http_request())
     _, writer = await endpoint.next_request()
     load = 'X-Load: {"util":0.5,"latency_ms":7}\r\n'
