--- a/tests/network/discovery/conftest.py
+++ b/tests/network/discovery/conftest.py
@@ -11,15 +11,15 @@
 
 @pytest.fixture
 def received_lists():
-    """A queue of the endpoint lists that the watch has reported."""
+    """A queue of the endpoint lists that watches have reported."""
     return asyncio.Queue()
 
 
 @pytest_asyncio.fixture
 async def start_watch(received_lists):
-    """A function that starts a watch at discovery, which stops after the test.
+    """A function that starts a watch and returns it; the watch is cancelled after the test.
 
-    It takes the discovery service's port and, where a list is configured, that list's index.
+    Its arguments are the port of the discovery service and, if an endpoint list is configured, its index.
     """
     tasks = []
 
@@ -36,5 +36,5 @@
 
 @pytest_asyncio.fixture
 async def watch(start_watch, discovery_service):
-    """A running watch at discovery, without a configured list."""
+    """A running watch of the discovery service, without a configured endpoint list."""
     return start_watch(discovery_service.port)
--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -1,4 +1,4 @@
-"""Tests of the pace of calls at discovery when calls fail."""
+"""Tests of the delays between calls of discovery when calls fail."""
 
 import asyncio
 import bisect
@@ -21,8 +21,8 @@
 
 OVERLOADED = DiscoveryOverloadedError("status 503")
 TIMED_OUT = DiscoveryTimeoutError("no answer in time")
-UNTIL_TIMEOUT = None  # the duration of a call that gets no response
-FAILURES = {  # errors, and how long the calls take, s
+UNTIL_TIMEOUT = None  # in place of the duration of a call that gets no response
+FAILURES = {  # the error of a failed call and the duration of the call in seconds
     "503": (OVERLOADED, 0.0),
     "429 after 2 s": (DiscoveryOverloadedError("status 429"), 2.0),
     "reset": (DiscoveryError("the connection failed"), 0.0),
@@ -32,20 +32,20 @@
 
 
 def sampled_seeds(fleet):
-    """Return the seeds of at most about 40 gateways of a fleet."""
+    """Return the seeds of a sample of about 40 gateways of a fleet, or of all gateways of a smaller fleet."""
     return range(0, fleet, max(1, fleet // 40))
 
 
 def overloaded_for_30_s(now_s, _timeout_s):
-    """Serve the first call, and none in the 30 s behind it."""
+    """Serve the first call, reject all calls in the following 30 s, and serve later calls."""
     if not now_s or now_s > 30:
         return CallOutcome(UNCHANGED, 0.5)
     return CallOutcome(OVERLOADED, 0.0)
 
 
 @pytest.mark.parametrize("fleet", [1, 3, 40, 230])
-def test_refused_fleet_spreads_its_retries(fleet, monkeypatch):
-    """Of a large fleet no 0.5 s get many more retries than an even spread over the backoff would give."""
+def test_fleet_rejected_for_overload_spreads_its_retries(fleet, monkeypatch):
+    """No interval of 0.5 s contains many more retries of a large fleet than an even distribution would."""
     watches = [
         simulate_watch(monkeypatch, overloaded_for_30_s, fleet_size=fleet, seed=seed) for seed in range(fleet)
     ]
@@ -63,8 +63,8 @@
 
 
 @pytest.mark.parametrize("fleet", [1, 40, 230])
-def test_first_refused_call_counts_from_its_start(fleet, monkeypatch):
-    """After 20 s of silence discovery rejects one call after 2 s, and serves the next."""
+def test_next_success_follows_within_6_s_of_the_start_of_a_rejected_call(fleet, monkeypatch):
+    """After 20 s without a response, discovery rejects one call after 2 s and serves the next call."""
     for seed in sampled_seeds(fleet):
         rejected_s = []
 
@@ -84,37 +84,39 @@
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("fleet", [1, 40, 230])
 def test_change_is_applied_within_6_s_after_discovery_is_reachable(fleet, pushed, failure, monkeypatch):
-    """The calls before may have failed in any way, and discovery may take 2 s for a response."""
-    error, failing_s = FAILURES[failure]
+    """The preceding calls fail in each possible way, and a shared discovery takes 2 s for a response."""
+    error, duration_s = FAILURES[failure]
     for seed in sampled_seeds(fleet):
-        back_s = random.Random(seed).uniform(1, 30)
+        reachable_from_s = random.Random(seed).uniform(1, 30)
 
-        def respond(now_s, timeout_s, back_s=back_s):
+        def respond(now_s, timeout_s, reachable_from_s=reachable_from_s):
             if not now_s:
                 return CallOutcome(UNCHANGED, 0.5)
-            if now_s >= back_s:
+            if now_s >= reachable_from_s:
                 return CallOutcome(UNCHANGED, 0.01 if pushed else 2.0)
-            return CallOutcome(error, timeout_s if failing_s is UNTIL_TIMEOUT else failing_s)
+            return CallOutcome(error, timeout_s if duration_s is UNTIL_TIMEOUT else duration_s)
 
         watch = simulate_watch(
             monkeypatch, respond, fleet_size=fleet, seed=seed, is_pushed=pushed, drain_grace_s=2.0
         )
-        # The first silent call is a watch, which may last for its own time and 2 s more.
-        silent_s = watch.began_s[2] - 1.02 if failing_s is UNTIL_TIMEOUT else 0.0
-        # Discovery that rejects a call only after 2 s is reachable from the end of its last rejection on.
-        reachable_s = max(back_s, watch.began_s[-2] + failing_s) if failing_s else back_s
+        # The first call without a response is a watch, which fails after its timeout and up to 2 s more.
+        silent_s = watch.began_s[2] - 1.02 if duration_s is UNTIL_TIMEOUT else 0.0
+        # If discovery takes 2 s to reject a call, it counts as reachable from the end of its last rejection.
+        reachable_s = (
+            max(reachable_from_s, watch.began_s[-2] + duration_s) if duration_s else reachable_from_s
+        )
         latest_s = max(reachable_s + 6.0, silent_s + 2.0 + 2.2 * (not pushed))
         assert watch.succeeded_s[1] <= latest_s, (seed, reachable_s, watch.began_s)
 
 
-async def broken_watch(monkeypatch, **options):
-    """Return the targets and the pauses of a watch with one success and 12 failures behind it."""
+async def run_failing_watch(monkeypatch, **options):
+    """Run a watch whose first call succeeds and whose next 12 calls fail; return its targets and delays."""
     results = iter([UNCHANGED, *[DiscoveryError("the connection ended")] * 12, asyncio.CancelledError()])
     targets = []
-    pauses_s = []
+    delays_s = []
 
     async def sleep(seconds):
-        pauses_s.append(seconds)
+        delays_s.append(seconds)
 
     async def call(target, _timeout_s):
         targets.append(target)
@@ -128,37 +130,37 @@
     with monkeypatch.context() as patch:
         patch.setattr("gateway.network.discovery.watch.asyncio.sleep", sleep)
         await asyncio.gather(watch._watch(), return_exceptions=True)
-    return targets, pauses_s
+    return targets, delays_s
 
 
 @pytest.mark.parametrize("fleet", [1, 3, 40, 200])
 @pytest.mark.parametrize("grace_s", [0.0, 0.25, 2.0])
 async def test_broken_watch_of_pushed_lists_reopens_within_the_grace_period(fleet, grace_s, monkeypatch):
     for seed in range(fleet):
-        targets, pauses_s = await broken_watch(
+        targets, delays_s = await run_failing_watch(
             monkeypatch, fleet_size=fleet, seed=seed, is_pushed=True, drain_grace_s=grace_s
         )
         assert targets[1] == WATCH_TARGET.format(41)
-        assert len(pauses_s) == 12 and pauses_s[0] < 0.05
-        assert max(pauses_s) < max(0.05, grace_s / 2)
-        assert min(pauses_s) >= 0.01
+        assert len(delays_s) == 12 and delays_s[0] < 0.05
+        assert max(delays_s) < max(0.05, grace_s / 2)
+        assert min(delays_s) >= 0.01
 
 
-def test_refusal_shows_that_discovery_is_shared():
-    pace = DiscoveryBackoff(40, random.Random(1), is_only_caller=True)
-    longest_s = max(pace.next_delay_s() for _ in range(20))
-    assert (longest_s, pace.watch_timeout_ms()) == (pytest.approx(0.5, abs=0.25), 5000)
-    pace.on_overload()
-    longest_s = max(pace.next_delay_s() for _ in range(20))
-    assert longest_s > 3 and pace.watch_timeout_ms() == 40_000
+def test_overload_makes_an_only_caller_spread_its_retries():
+    backoff = DiscoveryBackoff(40, random.Random(1), is_only_caller=True)
+    longest_s = max(backoff.next_delay_s() for _ in range(20))
+    assert (longest_s, backoff.watch_timeout_ms()) == (pytest.approx(0.5, abs=0.25), 5000)
+    backoff.on_overload()
+    longest_s = max(backoff.next_delay_s() for _ in range(20))
+    assert longest_s > 3 and backoff.watch_timeout_ms() == 40_000
 
 
-def test_first_retry_after_a_start_comes_sooner():
-    """A gateway that starts may have an old list."""
+def test_first_retry_after_startup_is_made_sooner():
+    """The endpoint list of a gateway that has just started may be outdated."""
     started = [DiscoveryBackoff(14, random.Random(seed)) for seed in range(40)]
     settled = [DiscoveryBackoff(14, random.Random(seed)) for seed in range(40)]
-    for pace in settled:
-        pace.on_success()
-    first_s = [pace.next_delay_s() for pace in started]
-    later_s = [pace.next_delay_s() for pace in settled]
+    for backoff in settled:
+        backoff.on_success()
+    first_s = [backoff.next_delay_s() for backoff in started]
+    later_s = [backoff.next_delay_s() for backoff in settled]
     assert sum(first_s) < 0.7 * sum(later_s) and max(first_s) < 2.3 and max(later_s) <= 3.5
--- a/tests/network/discovery/test_watch.py
+++ b/tests/network/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests of the watch at discovery."""
+"""Tests of the watch of the endpoint list."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from support.http_messages import http_response, json_response
 
 
-async def test_snapshot_is_followed_by_a_watch_from_its_version(discovery_service, received_lists, watch):
+async def test_snapshot_is_followed_by_a_watch_from_its_index(discovery_service, received_lists, watch):
     target, writer = await discovery_service.next_call()
     assert target == "/discovery/hosts" and not watch.list_received.is_set()
     writer.write(json_response(endpoint_list(endpoint_entry("w1", 5001), index=41)))
@@ -47,7 +47,9 @@
         json_response(endpoint_list(index=40, snapshot=False)),
     ],
 )
-async def test_invalid_answer_is_followed_by_a_full_list(reply, discovery_service, received_lists, watch):
+async def test_invalid_response_is_followed_by_a_request_for_a_snapshot(
+    reply, discovery_service, received_lists, watch
+):
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41)))
     await received_lists.get()
@@ -60,20 +62,24 @@
 
 
 @pytest.mark.parametrize("reply", [http_response(503), http_response(429), None])
-async def test_refused_call_resumes_from_the_known_version(reply, discovery_service, received_lists, watch):
+async def test_watch_resumes_from_the_known_index_after_a_rejected_or_interrupted_call(
+    reply, discovery_service, received_lists, watch
+):
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41)))
     await received_lists.get()
     _, writer = await discovery_service.next_call()
     writer.write(reply) if reply else writer.transport.abort()
     target, writer = await discovery_service.next_call()
-    assert target == "/discovery/hosts?since=41&timeout_ms=1"  # changes since then come at once
+    assert (
+        target == "/discovery/hosts?since=41&timeout_ms=1"
+    )  # the short timeout: changes since index 41 are returned at once
     writer.write(json_response(endpoint_list(endpoint_entry("w1", 5001), index=44, snapshot=False)))
     assert (await received_lists.get()).index == 44
     assert (await discovery_service.next_call()).target == WATCH_TARGET.format(44)
 
 
-async def test_configured_list_is_followed_by_its_changes(discovery_service, start_watch):
+async def test_watch_of_a_configured_list_begins_with_the_index_of_the_list(discovery_service, start_watch):
     watch = start_watch(discovery_service.port, 41)
     target, writer = await discovery_service.next_call()
     assert target == "/discovery/hosts?since=41&timeout_ms=1"
@@ -82,7 +88,7 @@
 
 
 @pytest.mark.parametrize("reply", [b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", None])
-async def test_first_call_after_a_failure_is_short(reply, discovery_service, start_watch):
+async def test_first_watch_after_a_failure_has_the_short_timeout(reply, discovery_service, start_watch):
     start_watch(discovery_service.port, 41)
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41, snapshot=False)))
@@ -94,31 +100,29 @@
 
 async def test_malformed_entry_is_skipped_and_the_list_is_used(discovery_service, received_lists, watch):
     _, writer = await discovery_service.next_call()
-    odd = [{"name": "w"}, 3, endpoint_entry("w2", 0), endpoint_entry("w3", 5001, "asleep")]
-    writer.write(json_response(endpoint_list(*odd, endpoint_entry("w1", 5001), index=41)))
+    invalid_entries = [{"name": "w"}, 3, endpoint_entry("w2", 0), endpoint_entry("w3", 5001, "asleep")]
+    writer.write(json_response(endpoint_list(*invalid_entries, endpoint_entry("w1", 5001), index=41)))
     received = await received_lists.get()
-    assert [one.endpoint.id for one in received.entries] == ["w1"] and received.is_snapshot
+    assert [entry.endpoint.id for entry in received.entries] == ["w1"] and received.is_snapshot
     assert (await discovery_service.next_call()).target == WATCH_TARGET.format(41)
 
 
-async def test_watch_moves_to_a_new_address_and_starts_with_a_full_list(
-    discovery_service, received_lists, watch
-):
-    """The first move interrupts a waiting watch, the second a call without a response."""
+async def test_watch_at_a_new_address_begins_with_a_snapshot(discovery_service, received_lists, watch):
+    """The first change of the address interrupts a watch, the second a call without a response."""
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(index=41)))
     await received_lists.get()
     assert (await discovery_service.next_call()).target == WATCH_TARGET.format(41)
-    async with FakeDiscovery() as silent, FakeDiscovery() as new:
-        watch.set_address((HOST, silent.port))
-        await silent.next_call()
-        watch.set_address((HOST, new.port))
-        target, writer = await new.next_call()
+    async with FakeDiscovery() as silent_discovery, FakeDiscovery() as new_discovery:
+        watch.set_address((HOST, silent_discovery.port))
+        await silent_discovery.next_call()
+        watch.set_address((HOST, new_discovery.port))
+        target, writer = await new_discovery.next_call()
         assert target == "/discovery/hosts"
         writer.write(json_response(endpoint_list(endpoint_entry("w9", 5009), index=3)))
         assert (await received_lists.get()).index == 3
-        assert (await new.next_call()).target == WATCH_TARGET.format(3)
-        assert discovery_service.calls.empty() and silent.calls.empty()
+        assert (await new_discovery.next_call()).target == WATCH_TARGET.format(3)
+        assert discovery_service.calls.empty() and silent_discovery.calls.empty()
 
 
 async def test_internal_error_restarts_the_watch(monkeypatch, discovery_service, received_lists, watch):
@@ -132,23 +136,26 @@
     assert (await received_lists.get()).index == 42
 
 
-async def answer_each_call(discovery_service, value):
+async def respond_to_each_call(discovery_service, value):
+    """Respond to all calls with the same JSON value until cancelled."""
     while True:
         _, writer = await discovery_service.next_call()
         writer.write(json_response(value))
 
 
-async def test_silent_discovery_is_survived(monkeypatch, discovery_service, received_lists, start_watch):
+async def test_watch_recovers_after_calls_without_a_response(
+    monkeypatch, discovery_service, received_lists, start_watch
+):
     monkeypatch.setattr("gateway.network.discovery.watch.CALL_TIMEOUT_S", 0.05)
     start_watch(discovery_service.port)
     for _ in range(3):  # calls without a response
         assert (await discovery_service.next_call()).target == "/discovery/hosts"
-    answering = asyncio.create_task(answer_each_call(discovery_service, endpoint_list(index=7)))
+    responding = asyncio.create_task(respond_to_each_call(discovery_service, endpoint_list(index=7)))
     assert (await received_lists.get()).index == 7
-    answering.cancel()
+    responding.cancel()
 
 
-async def test_refusing_discovery_is_survived(port, received_lists, start_watch):
+async def test_watch_recovers_after_a_refused_connection(port, received_lists, start_watch):
     watch = start_watch(port)
     failed = asyncio.Event()
     call = watch._fetch_list
@@ -175,6 +182,6 @@
     writer.write(http_response(body=text.encode()))
     received = await received_lists.get()
     assert (
-        len({one.endpoint.id for one in received.entries}) == len(received.entries) == 1024
+        len({entry.endpoint.id for entry in received.entries}) == len(received.entries) == 1024
         and received.is_snapshot
     )
