--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -1,4 +1,4 @@
-"""Tests of the table of open requests: ids, guard timers and the one final answer."""
+"""Tests of the table of open requests: ids, guard timers and responses."""
 
 import heapq
 
@@ -24,7 +24,7 @@
 
 
 class ManualTimers:
-    """A clock and its timers, advanced by the test."""
+    """A clock and its timers, which the test advances."""
 
     def __init__(self):
         self.now_ms = 1e6
@@ -48,7 +48,7 @@
 
 
 class RecordingClient:
-    """A client's connection that records what is written to it."""
+    """A client's connection that records its responses."""
 
     def __init__(self):
         self.written = []
@@ -64,7 +64,7 @@
 
 
 class RecordingAttempt:
-    """An attempt that records how it ends."""
+    """An attempt that records the calls that end it."""
 
     def __init__(self, request, number):
         self.request_id = request.id
@@ -78,8 +78,8 @@
         self.ends.append("cancelled")
 
 
-class Site:
-    """A request table with its collaborators."""
+class RequestTableHarness:
+    """A request table with a manual clock, which records its events and the responses to its only client."""
 
     def __init__(self):
         self.timers = ManualTimers()
@@ -92,112 +92,114 @@
     def enqueue(self, event):
         self.events.append(event)
 
-    def add(self, request_id=b"r1", wait_ms=500.0):
+    def add_request(self, request_id=b"r1", wait_ms=500.0):
         parsed = ValidatedRequest(request_id, "1", CLASS, "basic", wait_ms, 1.0, 1, 0, False, None)
         received = ReceivedRequest(b"GET", b"/look", {}, b"", None)
         return self.table.add(self.client, parsed, received)
 
-    def attempt(self, request):
+    def add_attempt(self, request):
         attempt = RecordingAttempt(request, request.attempts)
         request.attempts += 1
         self.attempts.add(attempt)
         return attempt
 
-    def counted(self):
+    def outcome_counts(self):
         return {status.value: n for (_, status), n in self.metrics.operations.items() if n}
 
 
 @pytest.fixture
-def site():
-    return Site()
+def harness():
+    return RequestTableHarness()
 
 
-def guarded(site):
-    request = site.add()
-    site.table.start_guard_timer(request, site.table.deadline_at_ms(request))
+def add_guarded_request(harness):
+    """Add a request, start its guard timer and return it."""
+    request = harness.add_request()
+    harness.table.start_guard_timer(request, harness.table.deadline_at_ms(request))
     return request
 
 
-def answer_ok(site, request):
-    return site.table.send_response(request, FinalStatus.FULFILLED, 200, b"body")
+def send_ok_response(harness, request):
+    return harness.table.send_response(request, FinalStatus.FULFILLED, 200, b"body")
 
 
-FINAL_ANSWERS = {
-    "answer": (answer_ok, (200, b"body", 0.0), "fulfilled"),
-    "reject": (lambda site, request: site.table.reject(request.id, 7.0), (503, b"", 7.0), "throttled"),
-    "fail": (lambda site, request: site.table.fail(request.id), (502, b"", 0.0), "faulted"),
-    "guard": (lambda site, request: site.timers.advance(500.0), (504, b"", 0.0), "faulted"),
+# The call that ends a request, the recorded response and the counted outcome.
+RESPONSES = {
+    "response": (send_ok_response, (200, b"body", 0.0), "fulfilled"),
+    "reject": (lambda harness, request: harness.table.reject(request.id, 7.0), (503, b"", 7.0), "throttled"),
+    "fail": (lambda harness, request: harness.table.fail(request.id), (502, b"", 0.0), "faulted"),
+    "guard": (lambda harness, request: harness.timers.advance(500.0), (504, b"", 0.0), "faulted"),
     "finished": (
-        lambda site, request: site.table.finish_response(request, is_complete=True),
+        lambda harness, request: harness.table.finish_response(request, is_complete=True),
         "finished",
         "fulfilled",
     ),
     "aborted": (
-        lambda site, request: site.table.finish_response(request, is_complete=False),
+        lambda harness, request: harness.table.finish_response(request, is_complete=False),
         "aborted",
         "faulted",
     ),
 }
 
 
-@pytest.mark.parametrize("first", FINAL_ANSWERS)
-def test_first_final_answer_is_the_only_one_and_counted_once(first, site):
-    request = guarded(site)
-    give, written, outcome = FINAL_ANSWERS[first]
-    give(site, request)
-    assert not site.table.open
-    for name in ("answer", "reject", "fail", "guard"):
-        FINAL_ANSWERS[name][0](site, request)
-    assert site.client.written == [written] and site.counted() == {outcome: 1}
+@pytest.mark.parametrize("first", RESPONSES)
+def test_only_the_first_response_is_sent_and_counted(first, harness):
+    request = add_guarded_request(harness)
+    end_request, written, outcome = RESPONSES[first]
+    end_request(harness, request)
+    assert not harness.table.open
+    for name in ("response", "reject", "fail", "guard"):
+        RESPONSES[name][0](harness, request)
+    assert harness.client.written == [written] and harness.outcome_counts() == {outcome: 1}
 
 
-def test_guard_timer_answers_before_the_deadline_and_reports_it(site):
-    request = guarded(site)
-    site.timers.advance(500.0 - GUARD_MARGIN_MS - 0.1)
-    assert site.client.written == [] and site.events == []
-    site.timers.advance(0.2)
-    assert site.client.written == [(504, b"", 0.0)] and site.events == [ClientDisconnected(request.id)]
+def test_guard_timer_responds_before_the_deadline_and_reports_a_disconnect(harness):
+    request = add_guarded_request(harness)
+    harness.timers.advance(500.0 - GUARD_MARGIN_MS - 0.1)
+    assert harness.client.written == [] and harness.events == []
+    harness.timers.advance(0.2)
+    assert harness.client.written == [(504, b"", 0.0)] and harness.events == [ClientDisconnected(request.id)]
 
 
-def test_deadline_of_a_request_during_shutdown_is_the_end_of_the_shutdown(site):
-    request = site.add(wait_ms=500.0)
-    now_ms = site.timers.now()
-    assert site.table.deadline_at_ms(request) == now_ms + 500.0
-    site.table.begin_shutdown(now_ms + 100.0)
-    assert site.table.deadline_at_ms(request) == now_ms + 100.0
-    site.table.begin_shutdown(now_ms)
-    assert site.table.deadline_at_ms(request) == now_ms + 2 * DEADLINE_MARGIN_MS
+def test_deadline_during_shutdown_is_at_most_the_end_of_the_shutdown(harness):
+    request = harness.add_request(wait_ms=500.0)
+    now_ms = harness.timers.now()
+    assert harness.table.deadline_at_ms(request) == now_ms + 500.0
+    harness.table.begin_shutdown(now_ms + 100.0)
+    assert harness.table.deadline_at_ms(request) == now_ms + 100.0
+    harness.table.begin_shutdown(now_ms)
+    assert harness.table.deadline_at_ms(request) == now_ms + 2 * DEADLINE_MARGIN_MS
 
 
-def test_disconnected_client_gets_no_answer_and_its_streaming_attempt_is_cancelled(site):
-    request = guarded(site)
-    plain, streaming = site.attempt(request), site.attempt(request)
+def test_disconnected_client_gets_no_response_and_its_streaming_attempt_is_cancelled(harness):
+    request = add_guarded_request(harness)
+    unsent, streaming = harness.add_attempt(request), harness.add_attempt(request)
     request.streaming_attempt = streaming.number
-    site.table.on_client_disconnected(request)
-    site.table.on_client_disconnected(request)
-    assert site.events == [ClientDisconnected(request.id)]
-    assert (plain.ends, streaming.ends) == (["expired"], ["cancelled"])
-    assert not answer_ok(site, request)
-    site.timers.advance(500.0)
-    assert site.client.written == [] and site.counted() == {}
-
-
-def test_final_answer_expires_the_attempts_that_are_not_sent(site):
-    request = site.add()
-    attempt = site.attempt(request)
-    assert answer_ok(site, request)
+    harness.table.on_client_disconnected(request)
+    harness.table.on_client_disconnected(request)
+    assert harness.events == [ClientDisconnected(request.id)]
+    assert (unsent.ends, streaming.ends) == (["expired"], ["cancelled"])
+    assert not send_ok_response(harness, request)
+    harness.timers.advance(500.0)
+    assert harness.client.written == [] and harness.outcome_counts() == {}
+
+
+def test_response_expires_the_unsent_attempts_of_its_request(harness):
+    request = harness.add_request()
+    attempt = harness.add_attempt(request)
+    assert send_ok_response(harness, request)
     assert attempt.ends == ["expired"]
 
 
-def test_id_of_an_open_or_recently_ended_request_is_rejected(site):
-    request = site.add(b"r1")
+def test_id_of_an_open_or_recently_ended_request_is_rejected(harness):
+    request = harness.add_request(b"r1")
     with pytest.raises(BadRequestError) as rejected:
-        site.add(b"r1")
-    assert rejected.value.status == 409 and list(site.table.open) == [request.id]
-    assert site.add(b"r2").id != request.id
-    site.table.fail(request.id)
-    site.timers.advance(ID_ROTATION_INTERVAL_MS)
+        harness.add_request(b"r1")
+    assert rejected.value.status == 409 and list(harness.table.open) == [request.id]
+    assert harness.add_request(b"r2").id != request.id
+    harness.table.fail(request.id)
+    harness.timers.advance(ID_ROTATION_INTERVAL_MS)
     with pytest.raises(BadRequestError):
-        site.add(b"r1")
-    site.timers.advance(ID_ROTATION_INTERVAL_MS)
-    assert site.add(b"r1").request_id == b"r1"
+        harness.add_request(b"r1")
+    harness.timers.advance(ID_ROTATION_INTERVAL_MS)
+    assert harness.add_request(b"r1").request_id == b"r1"
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -1,4 +1,4 @@
-"""Tests of request bodies that are forwarded while they are received."""
+"""Tests of request bodies that are forwarded while they are being received."""
 
 import asyncio
 
@@ -28,13 +28,13 @@
 
 @pytest_asyncio.fixture
 async def endpoint():
-    """An endpoint that leaves reading and writing to the test."""
+    """An endpoint whose reading and writing the test controls."""
     async with RawEndpoint() as endpoint:
         yield endpoint
 
 
-def upload(length, extra=""):
-    """The head of a request with a large body."""
+def upload_head(length, extra=""):
+    """Return the head of a request whose body has this length in bytes."""
     return (
         http_request(path="/debit", body=b"x").replace(b"Length: 1", b"Length: %d" % length)[:-3]
         + extra.encode()
@@ -49,12 +49,12 @@
         head = http_request(path="/debit", extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
         client.send(head + b"%x;ext=1\r\n" % LARGE + body[:-1])
     else:
-        client.send(upload(LARGE) + body[:-1])
+        client.send(upload_head(LARGE) + body[:-1])
     assert not (await controller.next_event(RequestArrived)).is_complete
     head, reader, writer = await endpoint.next_request_head()
     await controller.next_event(BodyReleased)
-    assert not [one for one in controller.events if isinstance(one, RequestCompleted)]
-    assert gateway.metrics.relayed == 0  # incomplete at the endpoint
+    assert not [event for event in controller.events if isinstance(event, RequestCompleted)]
+    assert gateway.metrics.relayed == 0  # the request has not been sent completely
     client.send(body[-1:] + (b"\r\n0\r\nX-Trailer: t\r\n\r\n" if chunked else b""))
     received = b""
     while len(received) < LARGE:
@@ -75,7 +75,7 @@
     monkeypatch, endpoint, controller, gateway, client
 ):
     total = 32 * 1024 * 1024
-    client.send(upload(total) + bytes(total))
+    client.send(upload_head(total) + bytes(total))
     _, writer = await endpoint.accepted.get()
     writer.transport.pause_reading()
     (connection,) = gateway.connections.all
@@ -87,7 +87,7 @@
     )
     assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
     gateway.connections.sweep(gateway.clock.now() + 60_000, False)
-    assert not connection.is_closing  # the endpoint causes the delay
+    assert not connection.is_closing  # the endpoint, not the client, causes the delay
     gateway.upstreams._sweep()
     assert gateway.attempts.in_flight and attempt.connection._buffered_bytes
     monkeypatch.setattr(upstream_connection, "UPLOAD_STALL_TIMEOUT_MS", -1.0)
@@ -97,25 +97,27 @@
 
 
 class RejectingController(ScriptedController):
+    """A controller that rejects each request on its arrival."""
+
     def handle(self, now, events):
-        return [Reject(one.id) for one in events if isinstance(one, RequestArrived)]
+        return [Reject(event.id) for event in events if isinstance(event, RequestArrived)]
 
 
 @pytest.mark.scripted_controller(factory=RejectingController)
-async def test_rejected_client_that_still_sends_gets_its_response_and_keeps_its_connection(gateway, client):
-    client.send(upload(LARGE) + bytes(1000))
+async def test_client_rejected_during_its_body_gets_its_response_and_keeps_its_connection(gateway, client):
+    client.send(upload_head(LARGE) + bytes(1000))
     assert (await client.next_response()).status == 503
     client.send(bytes(LARGE - 1000) + http_request())
     assert (await client.next_response()).status == 503
     assert not gateway.requests.open
 
 
-async def test_disconnect_during_a_body_ends_the_attempt(endpoint, controller, gateway, client):
-    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
+async def test_disconnect_during_a_body_ends_the_attempt_as_not_sent(endpoint, controller, gateway, client):
+    client.send(upload_head(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     _, reader, _ = await endpoint.next_request_head()
     client.close()
     outcome = await controller.next_event(AttemptEnded)
-    assert outcome.result is AttemptResult.NOT_SENT  # the endpoint has not failed
+    assert outcome.result is AttemptResult.NOT_SENT  # the result does not count as a failure of the endpoint
     with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
         await reader.readexactly(LARGE)
     assert not gateway.requests.open and not gateway.attempts.in_flight
@@ -123,8 +125,8 @@
 
 @pytest.mark.scripted_controller(endpoint=None)
 async def test_disconnect_while_the_body_is_paused_is_detected(controller, gateway, client):
-    """The end of the connection lies behind bytes that are not read."""
-    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
+    """The end of the connection follows bytes that the gateway does not read while the body is paused."""
+    client.send(upload_head(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     arrival = await controller.next_event(RequestArrived)
     await wait_until(lambda: gateway.requests.open[arrival.id].client.body_progress.paused_since_ms)
     client.close()
@@ -132,10 +134,10 @@
         assert (await controller.next_event(ClientDisconnected)).id == arrival.id
 
 
-async def test_second_of_two_attempts_waiting_with_one_body_is_not_written(
+async def test_second_attempt_of_a_request_is_not_sent_while_its_body_is_forwarded(
     endpoint, controller, gateway, client
 ):
-    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
+    client.send(upload_head(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     arrival = await controller.next_event(RequestArrived)
     await controller.next_event(BodyReleased)
     await endpoint.next_request_head()
@@ -145,8 +147,10 @@
     assert (outcome.attempt, outcome.result) == (1, AttemptResult.NOT_SENT) and endpoint.accepted.empty()
 
 
-async def test_body_interrupted_by_its_endpoint_is_not_executed(endpoint, controller, client):
-    client.send(upload(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
+async def test_connection_closed_by_the_endpoint_during_a_body_ends_as_connect_failed(
+    endpoint, controller, client
+):
+    client.send(upload_head(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     _, _, writer = await endpoint.next_request_head()
     await controller.next_event(BodyReleased)
     writer.transport.abort()
@@ -155,8 +159,10 @@
 
 
 @pytest.mark.parametrize(("bytes_per_s", "is_accepted"), [(64_000, True), (8_000, False)])
-async def test_slow_body_is_accepted_above_its_minimum_rate(bytes_per_s, is_accepted, gateway, client):
-    client.send(upload(300_000) + bytes(4 * bytes_per_s - 10))
+async def test_slow_body_is_accepted_if_its_rate_is_above_the_minimum(
+    bytes_per_s, is_accepted, gateway, client
+):
+    client.send(upload_head(300_000) + bytes(4 * bytes_per_s - 10))
     await wait_until(lambda: gateway.connections.all)
     (connection,) = gateway.connections.all
     await wait_until(lambda: connection.reader.body_size == 4 * bytes_per_s - 10)
--- a/tests/network/test_streamed_responses.py
+++ b/tests/network/test_streamed_responses.py
@@ -1,4 +1,4 @@
-"""Tests of responses that are forwarded while they are received."""
+"""Tests of responses that are forwarded while they are being received."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 @pytest_asyncio.fixture
 async def endpoint():
-    """An endpoint that leaves reading and writing to the test."""
+    """An endpoint whose reading and writing the test controls."""
     async with RawEndpoint() as endpoint:
         yield endpoint
 
@@ -52,7 +52,7 @@
     await controller.next_event(RequestArrived)
 
 
-async def test_broken_streamed_response_is_visibly_truncated_and_not_retried(
+async def test_interrupted_streamed_response_is_visibly_truncated_and_not_retried(
     endpoint, controller, gateway, client
 ):
     client.send(http_request())
@@ -68,7 +68,7 @@
     assert gateway.metrics.operations["look", FinalStatus.FAULTED] == 1
 
 
-async def test_response_without_length_ends_with_its_connection(endpoint, client):
+async def test_close_delimited_response_ends_with_the_close_of_its_connection(endpoint, client):
     client.send(http_request())
     _, _, writer = await endpoint.next_request_head()
     writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall there is")
@@ -88,20 +88,20 @@
     assert connection.transport.get_write_buffer_size() < 1024 * 1024
     client.reader._transport.resume_reading()
     await client.reader.readuntil(b"\r\n\r\n")
-    left = total
-    while left:
-        left -= len(await client.reader.read(1 << 20))
+    remaining = total
+    while remaining:
+        remaining -= len(await client.reader.read(1 << 20))
     assert (await controller.next_event(AttemptEnded)).result is AttemptResult.OK
 
 
-async def test_stalled_response_is_ended(monkeypatch, endpoint, controller, gateway, client):
+async def test_stalled_response_is_aborted(monkeypatch, endpoint, controller, gateway, client):
     client.send(http_request())
     _, _, writer = await endpoint.next_request_head()
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + bytes(100_000))
     await controller.next_event(ResponseStarted)
     monkeypatch.setattr(upstream_connection, "RESPONSE_STALL_TIMEOUT_MS", -1.0)
     gateway.upstreams._sweep()
-    gateway.upstreams._sweep()  # nothing has changed since the first sweep
+    gateway.upstreams._sweep()  # there has been no progress since the first sweep
     outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.RESET
     assert not gateway.requests.open
