--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -49,7 +49,7 @@
             request.client.drop()
             self._report_not_sent(action, request.attempts)
         else:
-            self._start(request, action)
+            self._start_attempt(request, action)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancel an attempt; has no effect if it has ended."""
@@ -67,7 +67,7 @@
             attempt.started_ms = now_ms
             self._upstreams.start_timeout(attempt, timeout_ms)
 
-    def _start(self, request: OpenRequest, action: SendAttempt) -> None:
+    def _start_attempt(self, request: OpenRequest, action: SendAttempt) -> None:
         upload = request.upload
         timeout_ms = action.timeout_ms if upload is None or upload.is_complete else request.wait_ms
         attempt = UpstreamAttempt(
@@ -83,9 +83,9 @@
         self._attempts.add(attempt)
         self._upstreams.start_attempt(attempt, action.timeout_ms)
 
-    def _report_not_sent(self, action: SendAttempt, number: int) -> None:
+    def _report_not_sent(self, action: SendAttempt, attempt_number: int) -> None:
         self._events.enqueue(
-            AttemptEnded(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True)
+            AttemptEnded(action.id, attempt_number, action.endpoint, 0.0, AttemptResult.NOT_SENT, True)
         )
 
     # -- notifications from attempts (`AttemptObserver`)
--- a/gateway/network/discovery/client.py
+++ b/gateway/network/discovery/client.py
@@ -117,7 +117,7 @@
 
 
 class _Response:
-    """A response that is being received; its methods are callbacks of the HTTP parser, except `feed`."""
+    """A response that is being received; the HTTP parser calls its `on_` methods."""
 
     def __init__(self) -> None:
         self.body_parts: list[bytes] = []
--- a/gateway/network/upstream/exchange.py
+++ b/gateway/network/upstream/exchange.py
@@ -49,8 +49,9 @@
 class Exchange:
     """An attempt and the part of its response that has been received.
 
-    The body of a successful response is forwarded as soon as its stated length or its received size exceeds
-    the limit for buffering. All other bodies are buffered.
+    The body of a successful response is forwarded if its stated length exceeds MAX_BUFFERED_BYTES. A body of
+    unknown length is forwarded as soon as its received size exceeds MAX_BUFFERED_UNSIZED_BYTES. Any other
+    body is buffered.
     """
 
     __slots__ = (
--- a/gateway/network/upstream/pool.py
+++ b/gateway/network/upstream/pool.py
@@ -155,9 +155,8 @@
         if attempt.connect_timer is not None:
             attempt.connect_timer.cancel()
         is_connected = _is_connected(connect_task, endpoint) and not connection.is_closed
-        if not attempt.may_send(
-            self.clock.now()
-        ):  # the send deadline may have passed before its timer has fired
+        # The send deadline may have passed although its timer has not fired yet.
+        if not attempt.may_send(self.clock.now()):
             attempt.fail(AttemptResult.NOT_SENT)
         if is_connected and not attempt.is_ended and not endpoint.is_retired:
             connection.send_attempt(attempt)
