--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -68,6 +68,6 @@
         self._role = context.role
         self._schedule = context.timers.schedule
 
-    def _act(self, action: Action) -> None:
+    def _add_action(self, action: Action) -> None:
         """Append an action to those that the current turn returns."""
         self._turn.actions.append(action)
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -12,10 +12,10 @@
 from gateway.policy.quota.leader_bucket import LeaseKey
 from gateway.policy.requests.request_flow import RequestFlow
 from gateway.policy.requests.request_record import RequestRecord
-from gateway.policy.timers import REQUEST_TIMERS, Timer, TimerKind
+from gateway.policy.timers import REQUEST_TIMER_KINDS, Timer, TimerKind
 
 CLEANUP_INTERVAL_MS = 1000.0  # interval at which unused accounts, buckets and timers are dropped
-WAKE_UP_TIMER = "agenda"  # name of the only timer that is requested, as recorded days contain it
+WAKE_UP_TIMER_NAME = "agenda"  # name of the only timer that is requested, as recorded days contain it
 
 _RequestEvent = (
     events.ResponseStarted | events.BodyReleased | events.RequestCompleted | events.ClientDisconnected
@@ -30,11 +30,13 @@
         self.settings = settings
         self.errors: list[Exception] = []  # errors raised by the events of the last turn
         self.context = PolicyContext(settings, seed)
-        self.flow = RequestFlow(self.context, self._send_entry)
+        self.flow = RequestFlow(self.context, self._send_quota_entry)
         self.pace = GossipPace(self.context)
         self.selector = self.flow.attempts.selector
         self.directory = self.flow.attempts.selector.directory
-        self._withdrawn: list[EndpointRecord] = []  # endpoints that stopped being ready in this turn
+        self._withdrawn_endpoints: list[
+            EndpointRecord
+        ] = []  # endpoints that stopped being ready in this turn
         self._cleanup_at_ms = 0.0
 
     def handle(self, now_ms: float, new_events: list[events.Event]) -> list[Action]:
@@ -48,8 +50,8 @@
                 self._on_event(event)
             except Exception as error:  # the caller logs it
                 self.errors.append(error)
-        if self._withdrawn and self.settings.may_hedge:
-            self._hedge_withdrawn()
+        if self._withdrawn_endpoints and self.settings.may_hedge:
+            self._hedge_at_withdrawn_endpoints()
         while timer := self.context.timers.pop_expired(now_ms):
             self._on_timer(timer)
         self.flow.dispatcher.dispatch()
@@ -68,9 +70,9 @@
         timers = self.context.timers
         is_first = turn.started_at_ms is None
         turn.start(now_ms)
-        timers.on_turn(now_ms)
+        timers.clear_due_wake_up(now_ms)
         self.errors = []
-        self._withdrawn = []
+        self._withdrawn_endpoints = []
         if is_first:
             self.context.role.started_at_ms = now_ms
             timers.schedule(now_ms, TimerKind.CONTROL_PERIOD)
@@ -115,12 +117,14 @@
         if update.failed:
             self.directory.on_update_failed()
             return
-        self._withdrawn += self.directory.update(update)
+        self._withdrawn_endpoints += self.directory.apply_update(update)
         self.flow.attempts.limiter.update_limit(self.directory.capacity)
 
-    def _hedge_withdrawn(self) -> None:
+    def _hedge_at_withdrawn_endpoints(self) -> None:
         """Hedge the requests in flight at endpoints that stopped being ready in this turn."""
-        self.flow.attempts.hedge_withdrawn(list(self.flow.open_requests.values()), self._withdrawn)
+        self.flow.attempts.hedge_at_withdrawn_endpoints(
+            list(self.flow.open_requests.values()), self._withdrawn_endpoints
+        )
 
     def _on_gossip(self, event: events.GossipReceived) -> None:
         """Handle a datagram; an unreadable one, or one of an unknown sender, has no effect."""
@@ -134,20 +138,20 @@
             self.selector.on_observations(message.observations)
         self.flow.lease_client.on_gossip(event.sender)
         for entry in message.entries:
-            self._on_entry(event.sender, message.incarnation, entry)
+            self._on_quota_entry(event.sender, message.incarnation, entry)
 
     # -- quota entries
 
-    def _send_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
+    def _send_quota_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
         """Send an entry to a gateway; one to this process is handled at once."""
         role = self.context.role
         is_own = gateway == self.settings.number and not role.is_retired
         if is_own and incarnation in (None, role.incarnation):
-            self._on_entry(gateway, role.incarnation, entry)
+            self._on_quota_entry(gateway, role.incarnation, entry)
         elif self.settings.may_gossip:
             self.pace.outbox.add(gateway, entry)
 
-    def _on_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
+    def _on_quota_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
         """Handle an entry; one with a class or a plan that the settings lack has no effect."""
         if entry.kind in REPLIES:
             self.flow.lease_client.on_reply(sender, entry)
@@ -160,32 +164,32 @@
     # -- timers
 
     def _on_timer(self, timer: Timer) -> None:
-        if timer.kind in REQUEST_TIMERS:
+        if timer.kind in REQUEST_TIMER_KINDS:
             request = self.flow.open_requests.get(timer.subject)
             if request is not None and not request.is_streaming:
                 self.flow.on_timer(timer.kind, request)
             return
         match timer.kind:
             case TimerKind.CONTROL_PERIOD:
-                self._step()
+                self._run_control_period()
             case TimerKind.LEADER_SERVE:
                 self.flow.leader.on_timer(timer.subject)
             case TimerKind.SUBSCRIBE if self.settings.must_subscribe:
                 self.context.turn.actions.append(SubscribeEndpoints())
 
-    def _step(self) -> None:
+    def _run_control_period(self) -> None:
         """Advance all controllers and averages by one period."""
         now_ms = self.context.turn.now_ms
         self.context.timers.schedule(now_ms + CONTROL_PERIOD_MS, TimerKind.CONTROL_PERIOD)
-        self.flow.dispatcher.step()
+        self.flow.dispatcher.update_shares()
         self.pace.step()
-        self.selector.step()
+        self.selector.advance_period()
         if now_ms >= self._cleanup_at_ms:
             self._cleanup_at_ms = now_ms + CLEANUP_INTERVAL_MS
-            self._clean_up()
-        self.flow.attempts.limiter.step(self.directory.capacity)
+            self._drop_unused_state()
+        self.flow.attempts.limiter.advance_period(self.directory.capacity)
 
-    def _clean_up(self) -> None:
+    def _drop_unused_state(self) -> None:
         """Drop unused accounts, buckets and timers."""
         self.flow.lease_client.accounts.drop_idle(self.flow.open_requests.values())
         self.flow.leader.drop_idle()
@@ -199,13 +203,13 @@
             return
         incarnation = self.context.role.incarnation
         target = self.flow.attempts.limiter.target
-        observations = self.selector.outliers.fresh_observations()
+        observations = self.selector.outliers.recent_own_observations()
         for message in messages:
             data = encode(incarnation, target, message.entries, observations)
             self.context.turn.actions.append(SendGossip(message.gateway, data))
 
     def _request_wake_up(self) -> None:
         turn = self.context.turn
-        after_ms = self.context.timers.wake_up_in_ms(turn.now_ms, self.flow.open_requests)
+        after_ms = self.context.timers.request_wake_up(turn.now_ms, self.flow.open_requests)
         if after_ms is not None:
-            turn.actions.append(SetTimer(after_ms, WAKE_UP_TIMER))
+            turn.actions.append(SetTimer(after_ms, WAKE_UP_TIMER_NAME))
--- a/gateway/policy/dispatch/dispatcher.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from gateway.policy.context import PolicyComponent, PolicyContext
-from gateway.policy.dispatch.fuzzy_share import FuzzyShare
+from gateway.policy.dispatch.fuzzy_share import FuzzyShareController
 from gateway.policy.dispatch.latency import max_wait_ms
 from gateway.policy.requests.attempts import AttemptManager
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
@@ -22,7 +22,7 @@
         self._attempts = attempts
         self.queue: list[RequestRecord] = []
         self.shares = {
-            request_class.name: FuzzyShare(max_wait_ms(request_class), 1 / len(classes))
+            request_class.name: FuzzyShareController(max_wait_ms(request_class), 1 / len(classes))
             for request_class in classes
         }
         self._waits_ms: dict[str, list[float]] = {request_class.name: [] for request_class in classes}
@@ -33,13 +33,13 @@
         request.account.in_flight += 1
         self.queue.append(request)
 
-    def step(self) -> None:
+    def update_shares(self) -> None:
         """Update each class's share by the mean wait of this period."""
         for class_name, share in self.shares.items():
             waits_ms = self._waits_ms[class_name]
             if len(waits_ms) < MIN_WAIT_SAMPLES:
-                waits_ms = [*waits_ms, *self._ages_ms(class_name)]
-            share.step(sum(waits_ms) / len(waits_ms) if waits_ms else 0.0)
+                waits_ms = [*waits_ms, *self._queued_ages_ms(class_name)]
+            share.update(sum(waits_ms) / len(waits_ms) if waits_ms else 0.0)
             self._waits_ms[class_name] = []
 
     def dispatch(self) -> None:
@@ -48,17 +48,19 @@
         Among equal priorities the newest request is first. The oldest first would bring all requests near
         their objectives, and many beyond them.
         """
-        if not self.queue or self._limiter.available() < 1:
+        if not self.queue or self._limiter.available_attempts() < 1:
             return
         self.queue.sort(
             key=lambda request: (not request.within_quota, -request.priority, -request.arrived_at_ms)
         )
-        if len(self.queue) > self._limiter.available():
+        if len(self.queue) > self._limiter.available_attempts():
             self._sort_by_shares()
-        is_busy = self._limiter.in_flight.mean >= MAX_OVERAGE_UTILIZATION * self._limiter.limit
-        self.queue = [request for request in self.queue if not self._try_to_dispatch(request, is_busy)]
+        is_above_overage_limit = self._limiter.in_flight.mean >= MAX_OVERAGE_UTILIZATION * self._limiter.limit
+        self.queue = [
+            request for request in self.queue if not self._try_to_dispatch(request, is_above_overage_limit)
+        ]
 
-    def _ages_ms(self, class_name: str) -> Iterator[float]:
+    def _queued_ages_ms(self, class_name: str) -> Iterator[float]:
         """Return the times since the arrival of a class's queued requests."""
         for request in self.queue:
             if request.request_class.name == class_name:
@@ -67,16 +69,16 @@
     def _sort_by_shares(self) -> None:
         """Move the requests to the front that are within their class's share and within their quota."""
         remaining = self._remaining_shares()
-        within: list[RequestRecord] = []
-        beyond: list[RequestRecord] = []
+        within_share: list[RequestRecord] = []
+        beyond_share: list[RequestRecord] = []
         for request in self.queue:
             class_name = request.request_class.name
             remaining[class_name] -= 1
             if remaining[class_name] >= 0 and request.within_quota:
-                within.append(request)
+                within_share.append(request)
             else:
-                beyond.append(request)
-        self.queue = within + beyond
+                beyond_share.append(request)
+        self.queue = within_share + beyond_share
 
     def _remaining_shares(self) -> dict[str, float]:
         """Return how many more attempts each class's share of the concurrency limit permits."""
@@ -87,10 +89,10 @@
                 remaining[attempt.request_class.name] -= 1
         return remaining
 
-    def _try_to_dispatch(self, request: RequestRecord, is_busy: bool) -> bool:
-        if self._limiter.available() < 1 or (is_busy and not request.within_quota):
+    def _try_to_dispatch(self, request: RequestRecord, is_above_overage_limit: bool) -> bool:
+        if self._limiter.available_attempts() < 1 or (is_above_overage_limit and not request.within_quota):
             return False
-        if not self._attempts.start(request):
+        if not self._attempts.start_attempt(request):
             return False
         request.phase = RequestPhase.DISPATCHED
         request.slow_start_retry_at_ms = 0.0
--- a/gateway/policy/dispatch/fuzzy_sets.py
+++ b/gateway/policy/dispatch/fuzzy_sets.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # peaks of the triangular sets
-OUTPUT_STEPS = 20  # points on either side of 0 at which an output is evaluated
+OUTPUT_STEPS_PER_SIDE = 20  # points on either side of 0 at which an output is evaluated
 
 
 def memberships(value: float) -> list[float]:
@@ -14,7 +14,9 @@
     return [max(0.0, 1 - abs(bounded - centre) / (CENTRES[1] - CENTRES[0])) for centre in CENTRES]
 
 
-_OUTPUT_POINTS = [step / OUTPUT_STEPS for step in range(-OUTPUT_STEPS, OUTPUT_STEPS + 1)]
+_OUTPUT_POINTS = [
+    step / OUTPUT_STEPS_PER_SIDE for step in range(-OUTPUT_STEPS_PER_SIDE, OUTPUT_STEPS_PER_SIDE + 1)
+]
 _OUTPUT_MEMBERSHIPS = [(output, memberships(output)) for output in _OUTPUT_POINTS]
 
 
--- a/gateway/policy/dispatch/fuzzy_share.py
+++ b/gateway/policy/dispatch/fuzzy_share.py
@@ -14,7 +14,7 @@
 INPUT_DIGITS = 2  # decimal digits of a controller input, which bound the number of cached results
 
 
-class FuzzyShare:
+class FuzzyShareController:
     """The dispatch share of one class, whose objective for the mean wait is `objective_ms`."""
 
     def __init__(self, objective_ms: float, share: float) -> None:
@@ -22,7 +22,7 @@
         self.share = share
         self._last_error_s: float | None = None
 
-    def step(self, wait_ms: float) -> None:
+    def update(self, wait_ms: float) -> None:
         """Update the share by the mean wait of one period: it grows while the class is late.
 
         The share does not shrink while the class waits less than its objective.
@@ -46,12 +46,12 @@
         strengths = [0.0] * len(CENTRES)
         for error_set, error_degree in enumerate(memberships(error)):
             for change_set, change_degree in enumerate(memberships(change)):
-                output_set = _output_set(error_set, change_set)
+                output_set = _output_set_index(error_set, change_set)
                 strengths[output_set] = max(strengths[output_set], min(error_degree, change_degree))
         return centre_of_gravity(strengths)
 
 
-def _output_set(error_set: int, change_set: int) -> int:
+def _output_set_index(error_set: int, change_set: int) -> int:
     """Return the rule table's output set: the sum of both inputs' distances from the middle set, bounded."""
     last_set = len(CENTRES) - 1
     middle_set = len(CENTRES) // 2
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -7,14 +7,14 @@
 from gateway.policy.decay import decay
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.endpoints.endpoint_table import EndpointTable
-from gateway.policy.endpoints.hash_ring import arc, mixed_ring
+from gateway.policy.endpoints.hash_ring import preferred_arc, zone_interleaved_ring
 from gateway.policy.endpoints.slow_start import capacity_fraction
 from gateway.policy.timers import TimerKind
 
 GATEWAYS_PER_ENDPOINT = 6  # gateways that prefer the same endpoint
 SLOW_START_SAFETY_FACTOR = 2.0  # divisor of the load that the settings permit during slow start
-POLLS_PER_INTERVAL = 4  # attempts to subscribe within the interval that the settings permit
-REFERENCE_MEMORY_MS = 30_000.0  # time constant with which the reference capacity decays
+SUBSCRIPTIONS_PER_POLL_INTERVAL = 4  # attempts to subscribe within the interval that the settings permit
+REFERENCE_CAPACITY_TIME_CONSTANT_MS = 30_000.0  # time constant with which the reference capacity decays
 
 
 class EndpointDirectory(PolicyComponent):
@@ -30,25 +30,25 @@
         self.reference_capacity = 0.0  # decaying maximum of the capacity, in the same unit
         self._min_reference_capacity = 0.0
 
-    def update(self, update: EndpointUpdate) -> list[EndpointRecord]:
+    def apply_update(self, update: EndpointUpdate) -> list[EndpointRecord]:
         """Apply an update of the endpoint list; return the endpoints that are no longer ready."""
         ready_before = self.warm + self.starting
-        self.table.apply(update)
-        self._sort_ready()
+        self.table.apply_update(update)
+        self._classify_ready_endpoints()
         return [endpoint for endpoint in ready_before if endpoint.entry.state is not EndpointState.READY]
 
     def on_update_failed(self) -> None:
         """Schedule the next subscription after a failed one."""
-        retry_at_ms = self._turn.now_ms + self._settings.poll_within_ms / POLLS_PER_INTERVAL
+        retry_at_ms = self._turn.now_ms + self._settings.poll_within_ms / SUBSCRIPTIONS_PER_POLL_INTERVAL
         self._schedule(retry_at_ms, TimerKind.SUBSCRIBE)
 
-    def step(self) -> None:
+    def advance_period(self) -> None:
         """Advance slow start and the reference capacity by one period, and drop removed endpoints."""
-        decayed = self.reference_capacity * decay(CONTROL_PERIOD_MS, REFERENCE_MEMORY_MS)
+        decayed = self.reference_capacity * decay(CONTROL_PERIOD_MS, REFERENCE_CAPACITY_TIME_CONSTANT_MS)
         self.reference_capacity = max(self._min_reference_capacity, decayed)
         if self.starting:
-            self._sort_ready()
-        self.table.drop_removed()
+            self._classify_ready_endpoints()
+        self.table.drop_removed_endpoints()
 
     def preferred_subset(self, endpoints: list[EndpointRecord]) -> list[EndpointRecord]:
         """Return the endpoints that this gateway prefers; in a small fleet all of them.
@@ -59,9 +59,9 @@
         length = math.ceil(len(endpoints) * GATEWAYS_PER_ENDPOINT / gateways)
         if length >= len(endpoints):
             return endpoints
-        return arc(mixed_ring(endpoints), length, self._settings.number, gateways)
+        return preferred_arc(zone_interleaved_ring(endpoints), length, self._settings.number, gateways)
 
-    def _sort_ready(self) -> None:
+    def _classify_ready_endpoints(self) -> None:
         """Sort the ready endpoints into the lists, and update both capacities."""
         self.warm = []
         self.starting = []
--- a/gateway/policy/endpoints/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -18,24 +18,24 @@
         self.by_id: dict[str, EndpointRecord] = {}
         self.by_tag: dict[int, EndpointRecord] = {}  # endpoints whose tag is unique
 
-    def apply(self, update: EndpointUpdate) -> None:
+    def apply_update(self, update: EndpointUpdate) -> None:
         """Apply an update of the endpoint list; an endpoint that has restarted gets a new record."""
         listed_ids = {entry.id for entry in update.endpoints}
         for endpoint_id, endpoint in self.by_id.items():
             if update.is_snapshot and endpoint_id not in listed_ids:
                 endpoint.entry = replace(endpoint.entry, state=EndpointState.REMOVED)
         for entry in update.endpoints:
-            current = self.by_id.get(entry.id)
-            if current is None or current.entry.started_ms != entry.started_ms:
+            existing = self.by_id.get(entry.id)
+            if existing is None or existing.entry.started_ms != entry.started_ms:
                 self.by_id[entry.id] = EndpointRecord(entry)
             else:
-                current.entry = entry
-        self._drop_removed()
+                existing.entry = entry
+        self._drop_removed_and_index_tags()
 
-    def drop_removed(self) -> None:
+    def drop_removed_endpoints(self) -> None:
         """Drop removed endpoints without attempts in flight."""
         if any(endpoint.entry.state is EndpointState.REMOVED for endpoint in self.by_id.values()):
-            self._drop_removed()
+            self._drop_removed_and_index_tags()
 
     def ready(self) -> list[EndpointRecord]:
         """Return the endpoints that are listed as ready."""
@@ -47,7 +47,7 @@
             endpoint for endpoint in self.by_id.values() if endpoint.entry.state is not EndpointState.REMOVED
         ]
 
-    def _drop_removed(self) -> None:
+    def _drop_removed_and_index_tags(self) -> None:
         """Drop removed endpoints and update the index by tag.
 
         Tags have 16 bits. An observation that names a tag of two endpoints may concern either, so such a tag
@@ -58,9 +58,9 @@
             for endpoint_id, endpoint in self.by_id.items()
             if endpoint.entry.state is not EndpointState.REMOVED or endpoint.in_flight
         }
-        holders = Counter(map(endpoint_tag, self.by_id))
+        tag_counts = Counter(map(endpoint_tag, self.by_id))
         self.by_tag = {
             endpoint_tag(endpoint_id): endpoint
             for endpoint_id, endpoint in self.by_id.items()
-            if holders[endpoint_tag(endpoint_id)] == 1
+            if tag_counts[endpoint_tag(endpoint_id)] == 1
         }
--- a/gateway/policy/endpoints/hash_ring.py
+++ b/gateway/policy/endpoints/hash_ring.py
@@ -12,7 +12,7 @@
 GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of two consecutive gateways
 
 
-class _Place(NamedTuple):
+class _RingEntry(NamedTuple):
     """The place of an endpoint on the ring: its relative position within its zone, and that zone."""
 
     position: float
@@ -20,29 +20,31 @@
     endpoint: EndpointRecord
 
 
-def mixed_ring(endpoints: Sequence[EndpointRecord]) -> list[EndpointRecord]:
+def zone_interleaved_ring(endpoints: Sequence[EndpointRecord]) -> list[EndpointRecord]:
     """Return the endpoints in the order of the ring: by the hash of their ids, the zones evenly mixed."""
     zones: dict[str, list[EndpointRecord]] = {}
-    for endpoint in sorted(endpoints, key=_hash_order):
+    for endpoint in sorted(endpoints, key=_hash_sort_key):
         zones.setdefault(endpoint.entry.zone, []).append(endpoint)
-    places = [
-        _Place((index + 0.5) / len(members), zone, endpoint)
+    entries = [
+        _RingEntry((index + 0.5) / len(members), zone, endpoint)
         for zone, members in zones.items()
         for index, endpoint in enumerate(members)
     ]
-    places.sort(key=lambda place: (place.position, place.zone))
-    return [place.endpoint for place in places]
+    entries.sort(key=lambda entry: (entry.position, entry.zone))
+    return [entry.endpoint for entry in entries]
 
 
-def arc(ring: Sequence[EndpointRecord], length: int, number: int, gateways: int) -> list[EndpointRecord]:
-    """Return the arc of `length` endpoints that gateway `number` of `gateways` prefers.
+def preferred_arc(
+    ring: Sequence[EndpointRecord], length: int, gateway: int, gateways: int
+) -> list[EndpointRecord]:
+    """Return the arc of `length` endpoints that gateway `gateway` of `gateways` prefers.
 
     The arcs start at even distances, so that all endpoints are in equally many arcs, give or take one. When
     an endpoint is added or removed, each arc changes by few endpoints. Gateways with consecutive numbers,
     which often serve the same customers, have distant arcs.
     """
     size = len(ring)
-    start = number * _arc_step(gateways) % gateways * size // gateways
+    start = gateway * _arc_step(gateways) % gateways * size // gateways
     return [ring[(start + offset) % size] for offset in range(length)]
 
 
@@ -52,5 +54,5 @@
     return next(step for step in range(first_candidate, gateways) if math.gcd(step, gateways) == 1)
 
 
-def _hash_order(endpoint: EndpointRecord) -> tuple[int, str]:
+def _hash_sort_key(endpoint: EndpointRecord) -> tuple[int, str]:
     return endpoint_tag(endpoint.entry.id), endpoint.entry.id
--- a/gateway/policy/endpoints/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -12,8 +12,8 @@
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.requests.request_record import RequestRecord
 
-REDRAW_MS = 1000.0  # interval after which a request that was not drawn may be drawn again
-DRAW_MEMORY_MS = 1000.0  # time constant of the counts of requests and draws
+REDRAW_INTERVAL_MS = 1000.0  # interval after which a request that was not drawn may be drawn again
+DRAW_COUNT_TIME_CONSTANT_MS = 1000.0  # time constant of the counts of requests and draws
 
 
 def capacity_fraction(settings: Settings, now_ms: float, endpoint: Endpoint) -> float:
@@ -33,13 +33,13 @@
         self._requests = 0.0  # decaying count of the requests that took part in draws
         self._draws = 0.0  # decaying count of all draws
 
-    def step(self) -> None:
+    def decay_counts(self) -> None:
         """Let the counts decay by one period."""
-        remaining = decay(CONTROL_PERIOD_MS, DRAW_MEMORY_MS)
+        remaining = decay(CONTROL_PERIOD_MS, DRAW_COUNT_TIME_CONSTANT_MS)
         self._requests = self._requests * remaining
         self._draws = self._draws * remaining
 
-    def draw(
+    def draw_endpoint(
         self, request: RequestRecord, starting: list[EndpointRecord], fleet_capacity: float
     ) -> EndpointRecord | None:
         """Return the endpoint in slow start that a request has drawn, or None, which is the usual result.
@@ -53,7 +53,7 @@
             self._requests += 1
         self._draws += 1
         request.slow_start_draws += 1
-        request.slow_start_retry_at_ms = self._turn.now_ms + REDRAW_MS
+        request.slow_start_retry_at_ms = self._turn.now_ms + REDRAW_INTERVAL_MS
         draws_per_request = max(1.0, self._draws / max(1.0, self._requests))
         ticket = self._rng.random() * fleet_capacity * draws_per_request
         for endpoint in starting:
--- a/gateway/policy/requests/attempt_table.py
+++ b/gateway/policy/requests/attempt_table.py
@@ -15,7 +15,7 @@
     """The key of an attempt: its request, and its number within the request."""
 
     request_id: int
-    number: int
+    attempt_number: int
 
 
 @dataclass(slots=True, eq=False)
@@ -47,13 +47,13 @@
         key = AttemptKey(request.id, request.attempts_sent)
         self._records[key] = AttemptRecord(endpoint, request.request_class)
         endpoint.in_flight += 1
-        request.in_flight[request.attempts_sent] = endpoint
-        request.tried.append(endpoint)
-        if not request.possibly_executed:
+        request.in_flight_endpoints[request.attempts_sent] = endpoint
+        request.tried_endpoints.append(endpoint)
+        if not request.possible_executions:
             request.key_endpoint = endpoint.entry
             request.key_sent_at_ms = now_ms
         request.attempts_sent += 1
-        request.possibly_executed += 1
+        request.possible_executions += 1
         return key
 
     def set_executing(self, key: AttemptKey, is_executing: bool) -> int:
--- a/gateway/policy/requests/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -11,16 +11,16 @@
 from gateway.policy.dispatch.latency import LatencyEstimates
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.endpoints.outlier_detection import (
+    OVERDUE_LATENCY_RATIO,
+    OVERDUE_OUTCOME_WEIGHT,
     OWN_OUTCOME_WEIGHT,
-    SILENCE_LATENCY_RATIO,
-    SILENCE_WEIGHT,
 )
-from gateway.policy.endpoints.selection import Eligible, EndpointSelector
+from gateway.policy.endpoints.selection import EligibleEndpoints, EndpointSelector
 from gateway.policy.requests.attempt_table import AttemptKey, AttemptRecord, AttemptTable
 from gateway.policy.requests.request_record import RequestRecord
 from gateway.policy.timers import TimerKind
 
-MIN_HEDGE_MS = 150.0  # minimum time between an attempt and its hedge
+MIN_HEDGE_DELAY_MS = 150.0  # minimum time between an attempt and its hedge
 MAX_HEDGE_UTILIZATION = 0.7  # fraction of the concurrency limit in use that still permits hedges
 RETRIES_PER_REQUEST = 0.2  # retry budget earned by each first attempt, in retries and hedges
 MAX_RETRY_BUDGET = 20.0  # upper bound of the retry budget, in retries and hedges
@@ -40,64 +40,68 @@
         self.table = AttemptTable()
         self.retry_budget = MAX_RETRY_BUDGET / 2
 
-    def start(self, request: RequestRecord) -> bool:
+    def start_attempt(self, request: RequestRecord) -> bool:
         """Send a request to one more endpoint; return False where none is eligible."""
-        endpoint = self.selector.choose(request, self._eligible(request))
+        endpoint = self.selector.choose_endpoint(request, self._eligible_endpoints(request))
         if endpoint is None or request.attempts_sent >= self._settings.max_attempts:
             return False
         if request.attempts_sent == 0:
             self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_PER_REQUEST)
         timeout_ms = max(MIN_ATTEMPT_TIMEOUT_MS, request.arrival.deadline_at_ms - self._turn.now_ms)
-        send_by_ms = self.resend_deadline_ms(request)
-        self._act(SendAttempt(request.id, endpoint.entry.id, timeout_ms, send_by_ms))
+        send_by_ms = self.resend_deadline_at_ms(request)
+        self._add_action(SendAttempt(request.id, endpoint.entry.id, timeout_ms, send_by_ms))
         key = self.table.add(request, endpoint, self._turn.now_ms)
         self.selector.recent_sends += 1
-        self.limiter.count(1)
+        self.limiter.add_in_flight(1)
         self.set_executing(key, request.is_complete)
-        self.schedule_hedge(request)
+        self.schedule_hedge_timer(request)
         return True
 
-    def retry(self, request: RequestRecord) -> bool:
+    def start_additional_attempt(self, request: RequestRecord) -> bool:
         """Start a retry or a hedge if it can still be answered in time and the retry budget permits it."""
-        response_at_ms = self._turn.now_ms + self.latencies.reserve_ms(request.request_class)
+        response_at_ms = self._turn.now_ms + self.latencies.response_reserve_ms(request.request_class)
         is_late = response_at_ms > min(request.objective_at_ms, request.arrival.deadline_at_ms)
-        if is_late or request.body_released or self.retry_budget < 1 or not self.start(request):
+        if is_late or request.body_released or self.retry_budget < 1 or not self.start_attempt(request):
             return False
         self.retry_budget -= 1
         return True
 
-    def hedge(self, request: RequestRecord) -> None:
+    def on_attempt_overdue(self, request: RequestRecord) -> None:
         """Send a hedge of a request whose attempt is silent, while the concurrency limit leaves capacity."""
         if not self._turn.follows_stall:
-            for endpoint in request.in_flight.values():
-                self.selector.outliers.learn(endpoint, request.request_class.name, math.inf, SILENCE_WEIGHT)
+            for endpoint in request.in_flight_endpoints.values():
+                self.selector.outliers.record_outcome(
+                    endpoint, request.request_class.name, math.inf, OVERDUE_OUTCOME_WEIGHT
+                )
         has_capacity = self.limiter.in_flight.mean < MAX_HEDGE_UTILIZATION * self.limiter.limit
-        if self._settings.may_hedge and has_capacity and len(request.in_flight) == 1:
-            self.retry(request)
+        if self._settings.may_hedge and has_capacity and len(request.in_flight_endpoints) == 1:
+            self.start_additional_attempt(request)
 
-    def hedge_withdrawn(self, requests: Iterable[RequestRecord], withdrawn: list[EndpointRecord]) -> None:
+    def hedge_at_withdrawn_endpoints(
+        self, requests: Iterable[RequestRecord], withdrawn: list[EndpointRecord]
+    ) -> None:
         """Hedge idempotent requests whose only attempt is at an endpoint that is no longer ready."""
         for request in requests:
             is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
-            endpoints = list(request.in_flight.values())
+            endpoints = list(request.in_flight_endpoints.values())
             is_at_risk = len(endpoints) == 1 and endpoints[0] in withdrawn
             if is_at_risk and is_idempotent and not request.is_streaming:
-                self.retry(request)
+                self.start_additional_attempt(request)
 
-    def schedule_hedge(self, request: RequestRecord) -> None:
+    def schedule_hedge_timer(self, request: RequestRecord) -> None:
         """Schedule the hedge of a request for the time when its attempt counts as silent."""
         expected_ms = self.latencies.expected_ms[request.request_class.name]
-        hedge_ms = max(MIN_HEDGE_MS, SILENCE_LATENCY_RATIO * expected_ms)
+        hedge_ms = max(MIN_HEDGE_DELAY_MS, OVERDUE_LATENCY_RATIO * expected_ms)
         self._schedule(self._turn.now_ms + hedge_ms, TimerKind.HEDGE, request.id)
 
-    def resend_deadline_ms(self, request: RequestRecord) -> float:
+    def resend_deadline_at_ms(self, request: RequestRecord) -> float:
         """Return the time by which the last byte of one more attempt has to be sent.
 
         Endpoints drop a duplicate within the deduplication window, which starts when the first attempt is
         sent. The time is inf where a duplicate is harmless, and -inf where it never is.
         """
         request_class = request.request_class
-        if not request.possibly_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
+        if not request.possible_executions or request_class.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return -math.inf
@@ -106,9 +110,9 @@
     def set_executing(self, key: AttemptKey, is_executing: bool) -> None:
         """Set whether an attempt is executing; only executing attempts count for the concurrency limit."""
         if change := self.table.set_executing(key, is_executing):
-            self.limiter.count(change)
+            self.limiter.add_in_flight(change)
 
-    def end(self, event: AttemptEnded, request: RequestRecord | None) -> None:
+    def on_attempt_ended(self, event: AttemptEnded, request: RequestRecord | None) -> None:
         """Remove an ended attempt and learn from its result; `request` is None if it has ended before."""
         key = AttemptKey(event.id, event.attempt)
         self.set_executing(key, False)
@@ -116,25 +120,25 @@
         self.limiter.on_attempt_ended(overloaded=event.result is AttemptResult.OVERLOADED)
         if event.load:
             self.selector.on_load_report(attempt.endpoint, event.load)
-        self._learn(event, attempt, is_streaming=request is not None and request.is_streaming)
+        self._update_estimates(event, attempt, is_streaming=request is not None and request.is_streaming)
         if request is not None:
-            request.in_flight.pop(event.attempt, None)
-            request.possibly_executed -= event.result.proves_not_executed
+            request.in_flight_endpoints.pop(event.attempt, None)
+            request.possible_executions -= event.result.proves_not_executed
 
-    def cancel(self, request: RequestRecord, keep: int | None = None) -> None:
-        """Cancel a request's attempts in flight, except for the one with the number `keep`."""
+    def cancel_in_flight(self, request: RequestRecord, kept_attempt: int | None = None) -> None:
+        """Cancel a request's attempts in flight, except for the one with the number `kept_attempt`."""
         if self._settings.may_cancel:
-            for number in request.in_flight:
-                if number != keep:
-                    self._act(CancelAttempt(request.id, number))
+            for attempt_number in request.in_flight_endpoints:
+                if attempt_number != kept_attempt:
+                    self._add_action(CancelAttempt(request.id, attempt_number))
 
-    def _eligible(self, request: RequestRecord) -> Eligible:
+    def _eligible_endpoints(self, request: RequestRecord) -> EligibleEndpoints:
         """Return the endpoints at which the request's idempotency key protects against a second execution."""
         key_endpoint = request.key_endpoint
-        resend_deadline_ms = self.resend_deadline_ms(request)
-        if key_endpoint is None or resend_deadline_ms == math.inf:
+        resend_deadline_at_ms = self.resend_deadline_at_ms(request)
+        if key_endpoint is None or resend_deadline_at_ms == math.inf:
             return None
-        if resend_deadline_ms <= self._turn.now_ms:
+        if resend_deadline_at_ms <= self._turn.now_ms:
             return []
         scope = request.request_class.key_scope
         if scope is KeyScope.ALL:
@@ -142,16 +146,18 @@
         ready = self.selector.directory.warm + self.selector.directory.starting
         return [endpoint for endpoint in ready if endpoint.entry.shares_keys_with(key_endpoint, scope)]
 
-    def _learn(self, event: AttemptEnded, attempt: AttemptRecord, *, is_streaming: bool) -> None:
+    def _update_estimates(self, event: AttemptEnded, attempt: AttemptRecord, *, is_streaming: bool) -> None:
         """Update the estimates; after a stall, latencies would include the stall of this process."""
         class_name = attempt.request_class.name
         latency_ratio = math.inf
         if event.result is AttemptResult.OK:
             if not is_streaming:  # a streaming response is counted when it starts
-                self.limiter.on_answered(attempt.request_class.latency_objective_ms)
+                self.limiter.on_response(attempt.request_class.latency_objective_ms)
             latency_ratio = event.elapsed_ms / self.latencies.expected_ms[class_name]
             if not self._turn.follows_stall:
-                self.latencies.learn(class_name, event.elapsed_ms)
+                self.latencies.add_sample(class_name, event.elapsed_ms)
         is_conclusive = event.result not in _INCONCLUSIVE_RESULTS
         if is_conclusive and not self._turn.follows_stall:
-            self.selector.outliers.learn(attempt.endpoint, class_name, latency_ratio, OWN_OUTCOME_WEIGHT)
+            self.selector.outliers.record_outcome(
+                attempt.endpoint, class_name, latency_ratio, OWN_OUTCOME_WEIGHT
+            )
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -24,7 +24,7 @@
 from gateway.policy.timers import TimerKind
 
 MAX_QUEUED_FRACTION = 0.45  # fraction of the time to its deadline that a request may be queued
-DEFAULT_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection
+MIN_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection
 DEADLINE_MARGIN_TICKS = 2  # ticks between a request's final answer and its deadline
 
 
@@ -48,11 +48,11 @@
         is_duplicate = arrival.id in self.open_requests
         is_expired = arrival.deadline_at_ms <= self._turn.now_ms
         if request_class is None or plan is None or is_expired or is_duplicate:
-            self._act(Reject(arrival.id))
+            self._add_action(Reject(arrival.id))
             return
         account = self.lease_client.accounts.refill(arrival, plan)
         account.demand += arrival.units
-        request = RequestRecord.opened(arrival, request_class, plan, account, self._turn.now_ms)
+        request = RequestRecord.from_arrival(arrival, request_class, plan, account, self._turn.now_ms)
         self.open_requests[request.id] = request
         self._schedule_deadline(request)
         queue_timeout_at_ms = self._queue_timeout_at_ms(request)
@@ -67,29 +67,29 @@
         request.objective_at_ms = self._turn.now_ms + request.request_class.latency_objective_ms
         self._schedule_deadline(request)
         if request.attempts_sent:
-            for number in request.in_flight:
-                self.attempts.set_executing(AttemptKey(request.id, number), True)
-            self.attempts.schedule_hedge(request)
+            for attempt_number in request.in_flight_endpoints:
+                self.attempts.set_executing(AttemptKey(request.id, attempt_number), True)
+            self.attempts.schedule_hedge_timer(request)
 
     def on_response_started(self, request: RequestRecord, event: ResponseStarted) -> None:
         """Handle the start of a streaming response: all other attempts are cancelled."""
         request.phase = RequestPhase.STREAMING
-        self.attempts.limiter.on_answered(request.request_class.latency_objective_ms)
+        self.attempts.limiter.on_response(request.request_class.latency_objective_ms)
         self.attempts.set_executing(AttemptKey(event.id, event.attempt), False)
-        self.attempts.cancel(request, keep=event.attempt)
+        self.attempts.cancel_in_flight(request, kept_attempt=event.attempt)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
         """Handle the end of an attempt: its request is closed, is retried, or gets its final answer."""
         if AttemptKey(event.id, event.attempt) not in self.attempts.table:
             return
         request = self.open_requests.get(event.id)
-        self.attempts.end(event, request)
+        self.attempts.on_attempt_ended(event, request)
         if request is None:
             return
         if event.final:
             self.close(request)
-        elif not request.in_flight and not self.attempts.retry(request):
-            self.give_up(request)
+        elif not request.in_flight_endpoints and not self.attempts.start_additional_attempt(request):
+            self.reject_or_fail(request)
 
     def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
         """Handle the quota leader's verdict on a request: GRANT, QUEUED or DENY.
@@ -108,7 +108,7 @@
         if verdict is EntryKind.GRANT:
             self.dispatcher.enqueue(request)
         elif verdict is EntryKind.DENY:
-            self.give_up(request)
+            self.reject_or_fail(request)
 
     def on_timer(self, kind: TimerKind, request: RequestRecord) -> None:
         """Handle a timer of an open request whose response has not started."""
@@ -121,25 +121,25 @@
             case _ if request.attempts_sent and not request.is_complete:
                 pass  # the objective and the deadline count from the request's last byte
             case TimerKind.HEDGE:
-                self.attempts.hedge(request)
+                self.attempts.on_attempt_overdue(request)
             case TimerKind.QUEUE_TIMEOUT:
                 self._on_queue_timeout(request)
             case TimerKind.DEADLINE:
-                self.give_up(request)
+                self.reject_or_fail(request)
 
-    def give_up(self, request: RequestRecord) -> None:
+    def reject_or_fail(self, request: RequestRecord) -> None:
         """Give the final answer to a request that is not served: Reject or Fail.
 
         A rejection promises that a retry by the client is harmless. For a request that was possibly executed,
         this is certain only if all endpoints still know its idempotency key at the time of the retry.
         """
         refill_ms = request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf)
-        retry_after_ms = min(max(DEFAULT_RETRY_AFTER_MS, refill_ms), self._settings.max_retry_after_ms)
-        resend_deadline_ms = self.attempts.resend_deadline_ms(request)
-        is_harmless = resend_deadline_ms == math.inf
+        retry_after_ms = min(max(MIN_RETRY_AFTER_MS, refill_ms), self._settings.max_retry_after_ms)
+        resend_deadline_at_ms = self.attempts.resend_deadline_at_ms(request)
+        is_harmless = resend_deadline_at_ms == math.inf
         if request.request_class.key_scope is KeyScope.ALL:
-            is_harmless = is_harmless or self._turn.now_ms + retry_after_ms < resend_deadline_ms
-        self._act(Reject(request.id, retry_after_ms) if is_harmless else Fail(request.id))
+            is_harmless = is_harmless or self._turn.now_ms + retry_after_ms < resend_deadline_at_ms
+        self._add_action(Reject(request.id, retry_after_ms) if is_harmless else Fail(request.id))
         self.close(request)
 
     def close(self, request: RequestRecord) -> None:
@@ -149,7 +149,7 @@
         if request.phase is RequestPhase.QUEUED:
             self.dispatcher.queue.remove(request)
         self.lease_client.close(request)
-        self.attempts.cancel(request)
+        self.attempts.cancel_in_flight(request)
 
     def _on_queue_timeout(self, request: RequestRecord) -> None:
         """Give up a request that can no longer be answered in time, or admit it optimistically."""
@@ -158,7 +158,7 @@
             # If the request cannot be dispatched in this turn, the next queue timeout gives it up.
             self._schedule(self._turn.now_ms + self._settings.tick_ms, TimerKind.QUEUE_TIMEOUT, request.id)
         elif request.attempts_sent == 0:
-            self.give_up(request)
+            self.reject_or_fail(request)
 
     def _schedule_deadline(self, request: RequestRecord) -> None:
         at_ms = request.arrival.deadline_at_ms - DEADLINE_MARGIN_TICKS * self._settings.tick_ms
@@ -175,7 +175,7 @@
         respond_by_ms = deadline_at_ms
         if request.request_class.late_weight <= 0:
             respond_by_ms = min(deadline_at_ms, request.objective_at_ms)
-        dispatch_by_ms = respond_by_ms - self.attempts.latencies.reserve_ms(request.request_class)
+        dispatch_by_ms = respond_by_ms - self.attempts.latencies.response_reserve_ms(request.request_class)
         earliest_ms = now_ms + MAX_RESPONSE_FRACTION * (respond_by_ms - now_ms)
         latest_ms = now_ms + MAX_QUEUED_FRACTION * (deadline_at_ms - now_ms)
         return min(latest_ms, max(dispatch_by_ms, earliest_ms))
--- a/gateway/policy/requests/request_record.py
+++ b/gateway/policy/requests/request_record.py
@@ -37,9 +37,11 @@
     body_released: bool = False  # the start of the body has been discarded, so no further attempt is possible
     # Attempts.
     attempts_sent: int = 0  # number of attempts sent
-    in_flight: dict[int, EndpointRecord] = field(default_factory=dict)  # endpoints by attempt number
-    tried: list[EndpointRecord] = field(default_factory=list)  # endpoints of all attempts
-    possibly_executed: int = 0  # attempts that are not proved never to have been executed
+    in_flight_endpoints: dict[int, EndpointRecord] = field(
+        default_factory=dict
+    )  # endpoints by attempt number
+    tried_endpoints: list[EndpointRecord] = field(default_factory=list)  # endpoints of all attempts
+    possible_executions: int = 0  # attempts that are not proved never to have been executed
     key_endpoint: Endpoint | None = None  # entry of the first endpoint that may know the idempotency key
     key_sent_at_ms: float = 0.0  # when the idempotency key was sent to that endpoint
     slow_start_draws: int = 0  # number of draws for an endpoint in slow start
@@ -53,7 +55,7 @@
     within_quota: bool = True
 
     @classmethod
-    def opened(
+    def from_arrival(
         cls,
         arrival: RequestArrived,
         request_class: RequestClass,
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -26,7 +26,7 @@
     DEADLINE = auto()  # the client's deadline is reached
 
 
-REQUEST_TIMERS = (
+REQUEST_TIMER_KINDS = (
     TimerKind.LEASE_REPLY_OVERDUE,
     TimerKind.LEASE_EXPIRED,
     TimerKind.HEDGE,
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         """Start with no timer and no requested wake-up."""
         self._heap: list[_HeapEntry] = []
-        self._scheduled = 0  # timers scheduled so far
+        self._scheduled_count = 0  # timers scheduled so far
         self._wake_up_at_ms = math.inf  # time of the wake-up that is requested
 
     def __len__(self) -> int:
@@ -67,8 +67,8 @@
 
     def schedule(self, at_ms: float, kind: TimerKind, subject: int = NO_SUBJECT) -> None:
         """Schedule a timer. Timers cannot be cancelled: the handler checks whether one still matters."""
-        self._scheduled += 1
-        heapq.heappush(self._heap, (at_ms, self._scheduled, kind, subject))
+        self._scheduled_count += 1
+        heapq.heappush(self._heap, (at_ms, self._scheduled_count, kind, subject))
 
     def pop_expired(self, now_ms: float) -> Timer | None:
         """Remove and return the first timer that has expired at `now_ms`, if there is one."""
@@ -77,12 +77,12 @@
         _, _, kind, subject = heapq.heappop(self._heap)
         return Timer(kind, subject)
 
-    def on_turn(self, now_ms: float) -> None:
+    def clear_due_wake_up(self, now_ms: float) -> None:
         """Record that a turn has started; a requested wake-up whose time is reached is over."""
         if now_ms >= self._wake_up_at_ms - CLOCK_RESOLUTION_MS:
             self._wake_up_at_ms = math.inf
 
-    def wake_up_in_ms(self, now_ms: float, open_requests: Container[int]) -> float | None:
+    def request_wake_up(self, now_ms: float, open_requests: Container[int]) -> float | None:
         """Return the time until the next wake-up, or None where an earlier one is already requested.
 
         Only one wake-up is requested, for the first timer that matters: a wake-up costs a turn and cannot be
@@ -97,7 +97,7 @@
 
     def compact(self, open_requests: Mapping[int, object]) -> None:
         """Drop the timers of ended requests if the queue has grown large."""
-        if len(self._heap) <= MAX_STALE_TIMERS + len(REQUEST_TIMERS) * len(open_requests):
+        if len(self._heap) <= MAX_STALE_TIMERS + len(REQUEST_TIMER_KINDS) * len(open_requests):
             return
         self._heap = [entry for entry in self._heap if not _is_stale(entry, open_requests)]
         heapq.heapify(self._heap)
@@ -110,4 +110,4 @@
 def _is_stale(entry: _HeapEntry, open_requests: Container[int]) -> bool:
     """Return whether a timer concerns a request that has ended."""
     _, _, kind, subject = entry
-    return kind in REQUEST_TIMERS and subject not in open_requests
+    return kind in REQUEST_TIMER_KINDS and subject not in open_requests
--- a/tests/policy/dispatch/test_concurrency_limit.py
+++ b/tests/policy/dispatch/test_concurrency_limit.py
@@ -18,26 +18,26 @@
 def test_concurrency_limit_is_divided_over_gateways():
     few, few_turn = new_limiter(1)
     many, many_turn = new_limiter(10)
-    few.step(20)
-    many.step(20)
+    few.advance_period(20)
+    many.advance_period(20)
     assert few.limit > 5 * many.limit
-    few.on_answered(1000)
-    many.on_answered(1000)
+    few.on_response(1000)
+    many.on_response(1000)
     few_turn.now_ms = many_turn.now_ms = 100
-    few.step(20)
-    many.step(20)
+    few.advance_period(20)
+    many.advance_period(20)
     assert few.limit > 5 * many.limit
 
 
 def test_limit_below_one_permits_random_but_not_steady_excess():
     limiter, turn = new_limiter(400)
-    limiter.step(40)
-    assert limiter.limit < 2 <= limiter.available()
-    limiter.count(3)
+    limiter.advance_period(40)
+    assert limiter.limit < 2 <= limiter.available_attempts()
+    limiter.add_in_flight(3)
     for now_ms in range(100, 3000, 100):
         turn.now_ms = now_ms
-        limiter.step(40)
-    assert limiter.available() < 0
+        limiter.advance_period(40)
+    assert limiter.available_attempts() < 0
 
 
 def poisson(rng, mean):
@@ -55,14 +55,14 @@
     """A fleet at four fifths of its limit of 240 seldom fills one gateway's share of it by chance."""
     limiter, _ = new_limiter(gateways)
     rng = random.Random(5)
-    limiter.step(60)
+    limiter.advance_period(60)
     limiter.limit = 240 / gateways
     limiter.in_flight.mean = 0.8 * limiter.limit
     full = 0
     for _ in range(4000):
         limiter.in_flight.value = poisson(rng, limiter.in_flight.mean)
-        full += limiter.available() < 1
+        full += limiter.available_attempts() < 1
     assert full <= 0.04 * 4000
     limiter.in_flight.value = 0
-    assert limiter.available() <= limiter.limit + 2 * limiter.limit**0.5
-    assert gateways > 1 or limiter.available() < limiter.limit + 2
+    assert limiter.available_attempts() <= limiter.limit + 2 * limiter.limit**0.5
+    assert gateways > 1 or limiter.available_attempts() < limiter.limit + 2
--- a/tests/policy/dispatch/test_fuzzy_share.py
+++ b/tests/policy/dispatch/test_fuzzy_share.py
@@ -7,42 +7,42 @@
 from hypothesis import strategies as st
 
 from gateway.policy.dispatch.fuzzy_sets import CENTRES
-from gateway.policy.dispatch.fuzzy_share import MIN_SHARE, FuzzyShare
+from gateway.policy.dispatch.fuzzy_share import MIN_SHARE, FuzzyShareController
 
 controller_inputs = st.floats(-2, 2).map(lambda value: round(value, 2))
 waits_ms = st.lists(st.floats(0, 10_000), max_size=20)
 
 
 def test_control_surface_is_the_diagonal_rule_table():
-    assert FuzzyShare.infer(0, 0) == pytest.approx(0, abs=1e-9)
+    assert FuzzyShareController.infer(0, 0) == pytest.approx(0, abs=1e-9)
     for error, change in itertools.product(CENTRES, repeat=2):
-        value = FuzzyShare.infer(error, change)
-        assert value == pytest.approx(-FuzzyShare.infer(-error, -change))
+        value = FuzzyShareController.infer(error, change)
+        assert value == pytest.approx(-FuzzyShareController.infer(-error, -change))
         assert (value > 0.1) == (error + change > 0) and (value < -0.1) == (error + change < 0)
 
 
 @given(controller_inputs, controller_inputs)
 @settings(deadline=None)
 def test_control_surface_is_bounded_and_antisymmetric(error, change):
-    value = FuzzyShare.infer(error, change)
+    value = FuzzyShareController.infer(error, change)
     assert -1 <= value <= 1
-    assert value == pytest.approx(-FuzzyShare.infer(-error, -change), abs=1e-9)
+    assert value == pytest.approx(-FuzzyShareController.infer(-error, -change), abs=1e-9)
 
 
 @given(waits_ms)
 @settings(deadline=None)
 def test_share_stays_between_its_minimum_and_one(waits_ms):
-    share = FuzzyShare(500, 0.3)
+    share = FuzzyShareController(500, 0.3)
     for wait_ms in waits_ms:
-        share.step(wait_ms)
+        share.update(wait_ms)
         assert MIN_SHARE <= share.share <= 1
 
 
 def test_late_class_gains_share_and_early_class_keeps_it():
-    share = FuzzyShare(500, 0.3)
+    share = FuzzyShareController(500, 0.3)
     for _ in range(10):
-        share.step(100)
+        share.update(100)
     assert share.share == 0.3
     for _ in range(10):
-        share.step(3000)
+        share.update(3000)
     assert share.share > 0.3
