--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -1,4 +1,7 @@
-"""The objects that all components of one controller share: settings, turn, timers and process role."""
+"""The objects that all components of one controller share.
+
+These are the settings, the random number generator, the current turn, the timers and the process role.
+"""
 
 from __future__ import annotations
 
@@ -9,22 +12,25 @@
 from gateway.interface.settings import Settings
 from gateway.policy.timers import TimerQueue
 
-CONTROL_PERIOD_MS = 100.0  # interval between two steps of the controllers and averages
-STALL_PERIODS = 4.0  # periods without a turn after which the process counts as stalled
-INCARNATION_COUNT = 1 << 16  # number of distinct incarnations, which have 16 bits in a datagram
+CONTROL_PERIOD_MS = 100.0  # interval at which the feedback controllers and the decaying averages are updated
+STALL_PERIODS = 4.0  # control periods without a turn, after which the process counts as stalled
+INCARNATION_COUNT = 1 << 16  # number of distinct incarnations; datagrams encode an incarnation in 16 bits
 
 
 @dataclass(slots=True)
 class Turn:
-    """One call of the controller: its time, and the actions that it returns."""
+    """One call of `Controller.handle`: its time, and the actions that it is going to return."""
 
     now_ms: float = 0.0
-    started_at_ms: float | None = None  # None before the first turn
-    follows_stall: bool = False  # the process was stalled before this turn
+    started_at_ms: float | None = None  # time of the last `start`; None before the first turn
+    follows_stall: bool = False  # the process was stalled between the previous turn and this one
     actions: list[Action] = field(default_factory=list)
 
     def start(self, now_ms: float) -> None:
-        """Start the next turn, with no actions yet."""
+        """Start the next turn at `now_ms`, with an empty list of actions.
+
+        The previous turn's list of actions is left unchanged, since the caller may still hold it.
+        """
         previous_ms = self.started_at_ms
         self.follows_stall = (
             previous_ms is not None and previous_ms < now_ms - STALL_PERIODS * CONTROL_PERIOD_MS
@@ -38,17 +44,17 @@
 class ProcessRole:
     """The role of this process in its gateway, which has two processes during a hot restart."""
 
-    incarnation: int  # identifies this process to other gateways
-    started_at_ms: float = 0.0  # start of the gateway, including its previous processes
+    incarnation: int  # identifies this process of the gateway to other gateways
+    started_at_ms: float = 0.0  # start of the gateway; a successor takes over its predecessor's value
     has_sibling: bool = False  # another process of this gateway is running
-    is_retired: bool = False  # the sibling grants and admits in place of this process
+    is_retired: bool = False  # the sibling process grants leases and admits requests instead of this one
 
 
 class PolicyContext:
     """The objects that the components of one controller have in common."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Create the state before the first turn; all random numbers follow from the seed."""
+        """Create the state before the first turn; `seed` determines all random numbers."""
         self.settings = settings
         self.rng = random.Random(seed)
         self.turn = Turn()
@@ -57,10 +63,9 @@
 
 
 class PolicyComponent:
-    """Base class of the components of a controller, which gives them access to the shared objects."""
+    """Base class of a controller's components, with references to the objects that they share."""
 
     def __init__(self, context: PolicyContext) -> None:
-        """Keep references to the shared objects."""
         self._settings = context.settings
         self._rng = context.rng
         self._turn = context.turn
@@ -69,5 +74,5 @@
         self._schedule = context.timers.schedule
 
     def _add_action(self, action: Action) -> None:
-        """Append an action to those that the current turn returns."""
+        """Append an action to the list that the current turn returns."""
         self._turn.actions.append(action)
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -1,4 +1,4 @@
-"""The controller of one gateway: it passes events to the components and returns their actions."""
+"""The controller of one gateway, which passes events to its components and returns their actions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gateway.policy.timers import REQUEST_TIMER_KINDS, Timer, TimerKind
 
 CLEANUP_INTERVAL_MS = 1000.0  # interval at which unused accounts, buckets and timers are dropped
-WAKE_UP_TIMER_NAME = "agenda"  # name of the only timer that is requested, as recorded days contain it
+WAKE_UP_TIMER_NAME = "agenda"  # name in all SetTimer actions; fixed, as recorded simulated days contain it
 
 _RequestEvent = (
     events.ResponseStarted | events.BodyReleased | events.RequestCompleted | events.ClientDisconnected
@@ -23,32 +23,34 @@
 
 
 class Controller:
-    """The decisions of one gateway. The same events at the same times result in the same actions."""
+    """Decides which actions one gateway takes in response to events.
+
+    The decisions are deterministic: the same settings, seed, events and times result in the same actions.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without requests or endpoints; all random numbers follow from the seed."""
+        """Start without requests or endpoints; `seed` determines all random numbers."""
         self.settings = settings
-        self.errors: list[Exception] = []  # errors raised by the events of the last turn
+        self.errors: list[Exception] = []  # exceptions raised by the handling of the last turn's events
         self.context = PolicyContext(settings, seed)
         self.flow = RequestFlow(self.context, self._send_quota_entry)
         self.pace = GossipPace(self.context)
         self.selector = self.flow.attempts.selector
         self.directory = self.flow.attempts.selector.directory
-        self._withdrawn_endpoints: list[
-            EndpointRecord
-        ] = []  # endpoints that stopped being ready in this turn
+        self._withdrawn_endpoints: list[EndpointRecord] = []  # those that stopped being ready in this turn
         self._cleanup_at_ms = 0.0
 
     def handle(self, now_ms: float, new_events: list[events.Event]) -> list[Action]:
         """Handle the events of one turn and return the actions to carry out.
 
-        An event that raises does not affect the other events; its error is in `errors` until the next turn.
+        An exception in the handling of one event does not affect the other events of the turn. The exception
+        is in `errors` until the next turn, and the caller has to log it.
         """
         self._start_turn(now_ms)
         for event in new_events:
             try:
                 self._on_event(event)
-            except Exception as error:  # the caller logs it
+            except Exception as error:  # the caller logs `errors`
                 self.errors.append(error)
         if self._withdrawn_endpoints and self.settings.may_hedge:
             self._hedge_at_withdrawn_endpoints()
@@ -60,7 +62,7 @@
         return self.context.turn.actions
 
     def endpoint_counts(self, now_ms: float) -> tuple[int, int]:
-        """Return the number of listed endpoints, and how many of them are avoided."""
+        """Return the number of listed endpoints, and of those among them that get few attempts or none."""
         self.context.turn.now_ms = now_ms
         listed = self.directory.table.listed()
         return len(listed), sum(self.selector.avoids(endpoint) for endpoint in listed)
@@ -81,7 +83,11 @@
     # -- events
 
     def _on_event(self, event: events.Event) -> None:
-        """Handle one event. Events about unknown requests and expired timers have no effect."""
+        """Handle one event.
+
+        Events about requests that are not open have no effect. A TimerFired has no handler, since any turn
+        handles the timers that have expired in the timer queue.
+        """
         match event:
             case events.AttemptEnded():
                 self.flow.on_attempt_ended(event)
@@ -127,14 +133,18 @@
         )
 
     def _on_gossip(self, event: events.GossipReceived) -> None:
-        """Handle a datagram; an unreadable one, or one of an unknown sender, has no effect."""
+        """Handle a datagram.
+
+        A datagram has no effect where it is unreadable, or where its sender is not in the fleet or is this
+        process itself.
+        """
         message = decode(event.data)
-        is_own = event.sender == self.settings.number and not self.context.role.has_sibling
-        if message is None or event.sender >= self.settings.gateways or is_own:
+        is_from_itself = event.sender == self.settings.number and not self.context.role.has_sibling
+        if message is None or event.sender >= self.settings.gateways or is_from_itself:
             return
         self.pace.on_received(event.sender)
         self.flow.attempts.limiter.on_peer_target(message.target_concurrency)
-        if not self.context.turn.follows_stall:  # observations are outdated after a stall
+        if not self.context.turn.follows_stall:  # else the datagram, and what it reports, may be outdated
             self.selector.on_observations(message.observations)
         self.flow.lease_client.on_gossip(event.sender)
         for entry in message.entries:
@@ -143,16 +153,24 @@
     # -- quota entries
 
     def _send_quota_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
-        """Send an entry to a gateway; one to this process is handled at once."""
+        """Send a quota entry to a gateway; an entry that is addressed to this process is handled at once.
+
+        `incarnation` is that of the process to which the entry is addressed. None stands for the process
+        that admits requests. Where the settings permit no gossip, entries for other processes are dropped.
+        """
         role = self.context.role
-        is_own = gateway == self.settings.number and not role.is_retired
-        if is_own and incarnation in (None, role.incarnation):
+        is_to_this_gateway = gateway == self.settings.number and not role.is_retired
+        if is_to_this_gateway and incarnation in (None, role.incarnation):
             self._on_quota_entry(gateway, role.incarnation, entry)
         elif self.settings.may_gossip:
             self.pace.outbox.add(gateway, entry)
 
     def _on_quota_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
-        """Handle an entry; one with a class or a plan that the settings lack has no effect."""
+        """Handle a quota entry from the process `incarnation` of the gateway `sender`.
+
+        An entry for the quota leader has no effect where the settings lack its class or its plan, or where
+        this process is retired.
+        """
         if entry.kind in REPLIES:
             self.flow.lease_client.on_reply(sender, entry)
             return
@@ -178,7 +196,7 @@
                 self.context.turn.actions.append(SubscribeEndpoints())
 
     def _run_control_period(self) -> None:
-        """Advance all controllers and averages by one period."""
+        """Update all feedback controllers and averages for one control period."""
         now_ms = self.context.turn.now_ms
         self.context.timers.schedule(now_ms + CONTROL_PERIOD_MS, TimerKind.CONTROL_PERIOD)
         self.flow.dispatcher.update_shares()
@@ -190,7 +208,7 @@
         self.flow.attempts.limiter.advance_period(self.directory.capacity)
 
     def _drop_unused_state(self) -> None:
-        """Drop unused accounts, buckets and timers."""
+        """Drop unused accounts, unused buckets and the timers of ended requests."""
         self.flow.lease_client.accounts.drop_idle(self.flow.open_requests.values())
         self.flow.leader.drop_idle()
         self.context.timers.compact(self.flow.open_requests)
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timer queue of the decision package: one heap, from which the controller pops expired timers."""
+"""The timer queue of a controller: a heap of all timers, and the only wake-up requested from the caller."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 from enum import IntEnum, auto
 from typing import NamedTuple
 
-CLOCK_RESOLUTION_MS = 0.001  # time by which a timer may expire early
-MAX_STALE_TIMERS = 256  # timers of ended requests that may remain before the queue is compacted
+CLOCK_RESOLUTION_MS = 0.001  # a timer also expires in a turn that starts up to this long before its time
+# The queue is compacted when it holds this many timers in addition to one of each kind per open request.
+MAX_STALE_TIMERS = 256
 
 
 class TimerKind(IntEnum):
-    """What a timer is for."""
+    """The purpose of a timer, by which its handler is chosen when it expires."""
 
-    CONTROL_PERIOD = auto()  # the next step of all controllers and averages
-    SUBSCRIBE = auto()  # the next subscription to endpoint updates
-    GOSSIP_FLUSH = auto()  # the entries of a delayed gossip message may be sent
+    CONTROL_PERIOD = auto()  # the feedback controllers and averages are due for their next update
+    SUBSCRIBE = auto()  # the next subscription to endpoint updates is due
+    GOSSIP_FLUSH = auto()  # entries that were held back to slow down gossip may be sent
     LEADER_SERVE = auto()  # a bucket of the quota leader has enough units for the head of its queue
-    LEASE_REPLY_OVERDUE = auto()  # the quota leader has not replied to a lease request
+    LEASE_REPLY_OVERDUE = auto()  # the quota leader has not replied to a lease request in time
     LEASE_EXPIRED = auto()  # the quota leader has dropped a queued lease request
-    HEDGE = auto()  # an attempt has taken long enough for a hedge
-    QUEUE_TIMEOUT = auto()  # a queued request can no longer be answered in time
-    DEADLINE = auto()  # the client's deadline is reached
+    HEDGE = auto()  # an attempt is overdue, and its request may be hedged
+    QUEUE_TIMEOUT = auto()  # a queued request has too little time left to be answered
+    DEADLINE = auto()  # the final answer has to be given before the client's deadline
 
 
-REQUEST_TIMER_KINDS = (
+REQUEST_TIMER_KINDS = (  # kinds whose subject is the id of a request
     TimerKind.LEASE_REPLY_OVERDUE,
     TimerKind.LEASE_EXPIRED,
     TimerKind.HEDGE,
@@ -37,7 +38,7 @@
 
 
 class Timer(NamedTuple):
-    """A timer's kind, and the id of the request or the name of the bucket that it concerns."""
+    """A timer: its kind, and its subject, which is a request id, the name of a bucket, or NO_SUBJECT."""
 
     kind: TimerKind
     subject: int = NO_SUBJECT
@@ -48,45 +49,48 @@
 
 
 class TimerQueue:
-    """Timers in the order of their times; those of equal times expire in the order of their scheduling."""
+    """Timers by expiry time; timers with equal times expire in the order in which they were scheduled."""
 
     def __init__(self) -> None:
-        """Start with no timer and no requested wake-up."""
         self._heap: list[_HeapEntry] = []
-        self._scheduled_count = 0  # timers scheduled so far
-        self._wake_up_at_ms = math.inf  # time of the wake-up that is requested
+        self._scheduled_count = 0  # timers scheduled so far, which is the last sequence number
+        self._wake_up_at_ms = math.inf  # time of the requested wake-up; inf where none is outstanding
 
     def __len__(self) -> int:
-        """Return how many timers are scheduled."""
+        """Return the number of timers in the queue, including those of ended requests."""
         return len(self._heap)
 
     @property
     def first_at_ms(self) -> float:
-        """When the first timer expires."""
+        """Expiry time of the first timer, whose request may have ended; the queue must not be empty."""
         return self._heap[0][0]
 
     def schedule(self, at_ms: float, kind: TimerKind, subject: int = NO_SUBJECT) -> None:
-        """Schedule a timer. Timers cannot be cancelled: the handler checks whether one still matters."""
+        """Schedule a timer.
+
+        Timers cannot be cancelled, so the handler of an expired timer has to check whether it still applies.
+        """
         self._scheduled_count += 1
         heapq.heappush(self._heap, (at_ms, self._scheduled_count, kind, subject))
 
     def pop_expired(self, now_ms: float) -> Timer | None:
-        """Remove and return the first timer that has expired at `now_ms`, if there is one."""
+        """Remove and return the first timer if it has expired at `now_ms`, else return None."""
         if not self._heap or self._heap[0][0] > now_ms + CLOCK_RESOLUTION_MS:
             return None
         _, _, kind, subject = heapq.heappop(self._heap)
         return Timer(kind, subject)
 
     def clear_due_wake_up(self, now_ms: float) -> None:
-        """Record that a turn has started; a requested wake-up whose time is reached is over."""
+        """Forget the requested wake-up if its time has come, so that the next one can be requested."""
         if now_ms >= self._wake_up_at_ms - CLOCK_RESOLUTION_MS:
             self._wake_up_at_ms = math.inf
 
     def request_wake_up(self, now_ms: float, open_requests: Container[int]) -> float | None:
-        """Return the time until the next wake-up, or None where an earlier one is already requested.
+        """Return the time until a wake-up that the caller has to request, or None where none is needed.
 
-        Only one wake-up is requested, for the first timer that matters: a wake-up costs a turn and cannot be
-        withdrawn, and most timers concern requests that end before the timer expires.
+        None is needed where a requested wake-up is at least as early as the first timer. Timers of ended
+        requests are skipped, and later timers get their wake-up in a later turn: a wake-up costs a turn and
+        cannot be withdrawn, and most timers belong to requests that end before the timer expires.
         """
         self._drop_stale_head(open_requests)
         first_at_ms = self._heap[0][0]
@@ -96,7 +100,7 @@
         return max(0.0, first_at_ms - now_ms)
 
     def compact(self, open_requests: Mapping[int, object]) -> None:
-        """Drop the timers of ended requests if the queue has grown large."""
+        """Drop the timers of ended requests if the queue exceeds the size that MAX_STALE_TIMERS permits."""
         if len(self._heap) <= MAX_STALE_TIMERS + len(REQUEST_TIMER_KINDS) * len(open_requests):
             return
         self._heap = [entry for entry in self._heap if not _is_stale(entry, open_requests)]
@@ -108,6 +112,6 @@
 
 
 def _is_stale(entry: _HeapEntry, open_requests: Container[int]) -> bool:
-    """Return whether a timer concerns a request that has ended."""
+    """Return whether a timer belongs to a request that has ended."""
     _, _, kind, subject = entry
     return kind in REQUEST_TIMER_KINDS and subject not in open_requests
