--- a/gateway/policy/requests/attempt_table.py
+++ b/gateway/policy/requests/attempt_table.py
@@ -1,4 +1,4 @@
-"""The attempts that are in flight."""
+"""The table of the attempts in flight."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """The key of an attempt: its request, and its number within the request."""
+    """The key of an attempt: the id of its request, and its number within the request, from 0."""
 
     request_id: int
     attempt_number: int
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """One attempt that has not ended."""
+    """The state of one attempt in flight."""
 
     endpoint: EndpointRecord
     request_class: RequestClass
@@ -28,14 +28,13 @@
 
 
 class AttemptTable:
-    """The attempts that have not ended, including those of ended requests."""
+    """The attempts in flight, including those whose request has ended."""
 
     def __init__(self) -> None:
-        """Start with no attempt."""
         self._records: dict[AttemptKey, AttemptRecord] = {}
 
     def __contains__(self, key: AttemptKey) -> bool:
-        """Return whether an attempt has not ended."""
+        """Return whether the attempt with this key is in flight."""
         return key in self._records
 
     def __iter__(self) -> Iterator[AttemptRecord]:
@@ -43,7 +42,11 @@
         return iter(self._records.values())
 
     def add(self, request: RequestRecord, endpoint: EndpointRecord, now_ms: float) -> AttemptKey:
-        """Add a request's next attempt, which counts as executing at its endpoint."""
+        """Add a request's next attempt, update the records of the request and the endpoint, return its key.
+
+        The attempt counts as executing at its endpoint. Where no earlier attempt may have been executed,
+        the endpoint becomes the first one that may know the idempotency key.
+        """
         key = AttemptKey(request.id, request.attempts_sent)
         self._records[key] = AttemptRecord(endpoint, request.request_class)
         endpoint.in_flight += 1
@@ -57,7 +60,11 @@
         return key
 
     def set_executing(self, key: AttemptKey, is_executing: bool) -> int:
-        """Set whether an attempt is executing; return the change in the number of executing attempts."""
+        """Set whether an attempt is executing at its endpoint.
+
+        Returns the change in the number of executing attempts: 1, -1, or 0. An attempt that has ended is left
+        as it is.
+        """
         attempt = self._records.get(key)
         if attempt is None or attempt.is_executing == is_executing:
             return 0
@@ -67,5 +74,8 @@
         return change
 
     def pop(self, key: AttemptKey) -> AttemptRecord:
-        """Remove an attempt that has ended, and return its record; raises KeyError for an unknown attempt."""
+        """Remove an attempt that has ended and return its record.
+
+        Raises KeyError for an attempt that is not in flight.
+        """
         return self._records.pop(key)
--- a/gateway/policy/requests/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sending, retrying and hedging requests, and learning from the results."""
+"""Attempts: sending, retrying and hedging requests, and updating estimates by the results."""
 
 import math
 from collections.abc import Iterable
@@ -21,16 +21,16 @@
 from gateway.policy.timers import TimerKind
 
 MIN_HEDGE_DELAY_MS = 150.0  # minimum time between an attempt and its hedge
-MAX_HEDGE_UTILIZATION = 0.7  # fraction of the concurrency limit in use that still permits hedges
-RETRIES_PER_REQUEST = 0.2  # retry budget earned by each first attempt, in retries and hedges
-MAX_RETRY_BUDGET = 20.0  # upper bound of the retry budget, in retries and hedges
-MIN_ATTEMPT_TIMEOUT_MS = 1.0  # lower bound of an attempt's timeout
+MAX_HEDGE_UTILIZATION = 0.7  # fraction of the concurrency limit in use from which on no hedges are sent
+RETRIES_PER_REQUEST = 0.2  # retries or hedges that the first attempt of each request adds to the retry budget
+MAX_RETRY_BUDGET = 20.0  # number of unused retries and hedges beyond which the retry budget does not grow
+MIN_ATTEMPT_TIMEOUT_MS = 1.0  # timeout of an attempt whose deadline is nearer than that
 
-_INCONCLUSIVE_RESULTS = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)
+_INCONCLUSIVE_RESULTS = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)  # no evidence about the endpoint
 
 
 class AttemptManager(PolicyComponent):
-    """Starts attempts, and updates the estimates of latencies and endpoints when they end."""
+    """Starts attempts, and updates the estimates of latencies and endpoints when the attempts end."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
@@ -41,7 +41,10 @@
         self.retry_budget = MAX_RETRY_BUDGET / 2
 
     def start_attempt(self, request: RequestRecord) -> bool:
-        """Send a request to one more endpoint; return False where none is eligible."""
+        """Send a request to one more endpoint.
+
+        Returns False where no endpoint is eligible, or the request has had its maximum number of attempts.
+        """
         endpoint = self.selector.choose_endpoint(request, self._eligible_endpoints(request))
         if endpoint is None or request.attempts_sent >= self._settings.max_attempts:
             return False
@@ -58,7 +61,11 @@
         return True
 
     def start_additional_attempt(self, request: RequestRecord) -> bool:
-        """Start a retry or a hedge if it can still be answered in time and the retry budget permits it."""
+        """Start a retry or a hedge, which takes 1 from the retry budget.
+
+        Returns False where the response would be late, the start of the body has been discarded, the budget
+        is below 1, or no attempt can be started.
+        """
         response_at_ms = self._turn.now_ms + self.latencies.response_reserve_ms(request.request_class)
         is_late = response_at_ms > min(request.objective_at_ms, request.arrival.deadline_at_ms)
         if is_late or request.body_released or self.retry_budget < 1 or not self.start_attempt(request):
@@ -67,7 +74,12 @@
         return True
 
     def on_attempt_overdue(self, request: RequestRecord) -> None:
-        """Send a hedge of a request whose attempt is silent, while the concurrency limit leaves capacity."""
+        """Handle the hedge timer of a request, whose attempt has gone without a response for too long.
+
+        Every endpoint of its attempts in flight is charged with a failure, unless this process was stalled.
+        A hedge is sent where the settings permit hedges, the concurrency limit leaves capacity, and exactly
+        one attempt is in flight.
+        """
         if not self._turn.follows_stall:
             for endpoint in request.in_flight_endpoints.values():
                 self.selector.outliers.record_outcome(
@@ -80,7 +92,10 @@
     def hedge_at_withdrawn_endpoints(
         self, requests: Iterable[RequestRecord], withdrawn: list[EndpointRecord]
     ) -> None:
-        """Hedge idempotent requests whose only attempt is at an endpoint that is no longer ready."""
+        """Hedge idempotent requests whose only attempt in flight is at one of the `withdrawn` endpoints.
+
+        An endpoint is withdrawn when it stops being ready.
+        """
         for request in requests:
             is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
             endpoints = list(request.in_flight_endpoints.values())
@@ -89,16 +104,17 @@
                 self.start_additional_attempt(request)
 
     def schedule_hedge_timer(self, request: RequestRecord) -> None:
-        """Schedule the hedge of a request for the time when its attempt counts as silent."""
+        """Schedule the hedge timer of a request for the time at which its latest attempt becomes overdue."""
         expected_ms = self.latencies.expected_ms[request.request_class.name]
         hedge_ms = max(MIN_HEDGE_DELAY_MS, OVERDUE_LATENCY_RATIO * expected_ms)
         self._schedule(self._turn.now_ms + hedge_ms, TimerKind.HEDGE, request.id)
 
     def resend_deadline_at_ms(self, request: RequestRecord) -> float:
-        """Return the time by which the last byte of one more attempt has to be sent.
+        """Return the time by which the last byte of a further attempt has to be sent.
 
-        Endpoints drop a duplicate within the deduplication window, which starts when the first attempt is
-        sent. The time is inf where a duplicate is harmless, and -inf where it never is.
+        Endpoints drop a duplicate within the deduplication window, which starts when the first attempt that
+        may have been executed is sent. The time is inf where a further attempt is harmless at any time, and
+        -inf where it never is.
         """
         request_class = request.request_class
         if not request.possible_executions or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -113,7 +129,11 @@
             self.limiter.add_in_flight(change)
 
     def on_attempt_ended(self, event: AttemptEnded, request: RequestRecord | None) -> None:
-        """Remove an ended attempt and learn from its result; `request` is None if it has ended before."""
+        """Remove an ended attempt, and update the estimates and its request by its result.
+
+        `request` is None where the request has ended before its attempt. Raises KeyError for an attempt that
+        is not in flight.
+        """
         key = AttemptKey(event.id, event.attempt)
         self.set_executing(key, False)
         attempt = self.table.pop(key)
@@ -126,14 +146,21 @@
             request.possible_executions -= event.result.proves_not_executed
 
     def cancel_in_flight(self, request: RequestRecord, kept_attempt: int | None = None) -> None:
-        """Cancel a request's attempts in flight, except for the one with the number `kept_attempt`."""
+        """Cancel a request's attempts in flight, except for the attempt with the number `kept_attempt`.
+
+        This has no effect where the settings permit no cancellation.
+        """
         if self._settings.may_cancel:
             for attempt_number in request.in_flight_endpoints:
                 if attempt_number != kept_attempt:
                     self._add_action(CancelAttempt(request.id, attempt_number))
 
     def _eligible_endpoints(self, request: RequestRecord) -> EligibleEndpoints:
-        """Return the endpoints at which the request's idempotency key protects against a second execution."""
+        """Return the endpoints to which a further attempt may be sent, or None where all are permitted.
+
+        Where a request with an idempotency key may have been executed, these are the ready endpoints that
+        drop a duplicate of its key. The list is empty where no duplicate is permitted, or no longer.
+        """
         key_endpoint = request.key_endpoint
         resend_deadline_at_ms = self.resend_deadline_at_ms(request)
         if key_endpoint is None or resend_deadline_at_ms == math.inf:
@@ -147,11 +174,15 @@
         return [endpoint for endpoint in ready if endpoint.entry.shares_keys_with(key_endpoint, scope)]
 
     def _update_estimates(self, event: AttemptEnded, attempt: AttemptRecord, *, is_streaming: bool) -> None:
-        """Update the estimates; after a stall, latencies would include the stall of this process."""
+        """Update the estimates of latencies and endpoints by the result of an attempt.
+
+        After a stall of this process, the elapsed time would include the stall. Only the concurrency limit is
+        updated then.
+        """
         class_name = attempt.request_class.name
         latency_ratio = math.inf
         if event.result is AttemptResult.OK:
-            if not is_streaming:  # a streaming response is counted when it starts
+            if not is_streaming:  # a streaming response has been counted at its start
                 self.limiter.on_response(attempt.request_class.latency_objective_ms)
             latency_ratio = event.elapsed_ms / self.latencies.expected_ms[class_name]
             if not self._turn.follows_stall:
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -1,4 +1,4 @@
-"""The course of a request from its arrival to its only final answer."""
+"""The handling of requests, from the arrival of each to its single final answer."""
 
 import math
 from dataclasses import replace
@@ -23,13 +23,13 @@
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 from gateway.policy.timers import TimerKind
 
-MAX_QUEUED_FRACTION = 0.45  # fraction of the time to its deadline that a request may be queued
-MIN_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection
-DEADLINE_MARGIN_TICKS = 2  # ticks between a request's final answer and its deadline
+MAX_QUEUED_FRACTION = 0.45  # fraction of the time from arrival to deadline that a request may be queued
+MIN_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection, unless the settings limit it to less
+DEADLINE_MARGIN_TICKS = 2  # timer ticks from the final answer to an unserved request to its deadline
 
 
 class RequestFlow(PolicyComponent):
-    """The open requests, and the components that decide on them."""
+    """The open requests, and the components that decide on their quotas, dispatch and attempts."""
 
     def __init__(self, context: PolicyContext, send: EntrySender) -> None:
         super().__init__(context)
@@ -42,7 +42,11 @@
         self.lease_client = LeaseClient(context, listener=self, send=send)
 
     def on_arrival(self, arrival: RequestArrived) -> None:
-        """Open a new request: it is admitted, waits for its quota, or is rejected at once."""
+        """Open a new request, which is admitted, waits for its quota, or is rejected at once.
+
+        It is rejected where its class or plan is not in the settings, its deadline has passed, or a request
+        with its id is open.
+        """
         request_class = self._classes.get(arrival.class_name)
         plan = self._plans.get(arrival.plan_name)
         is_duplicate = arrival.id in self.open_requests
@@ -61,7 +65,7 @@
             self.dispatcher.enqueue(request)
 
     def on_completed(self, request: RequestRecord, event: RequestCompleted) -> None:
-        """Handle the last byte of a large request, from which its objective and its deadline count."""
+        """Handle the last byte of a large request, at which its latency objective and its deadline start."""
         request.is_complete = True
         request.arrival = replace(request.arrival, deadline_at_ms=event.deadline_at_ms)
         request.objective_at_ms = self._turn.now_ms + request.request_class.latency_objective_ms
@@ -72,14 +76,18 @@
             self.attempts.schedule_hedge_timer(request)
 
     def on_response_started(self, request: RequestRecord, event: ResponseStarted) -> None:
-        """Handle the start of a streaming response: all other attempts are cancelled."""
+        """Handle the start of a streaming response, and cancel the request's other attempts."""
         request.phase = RequestPhase.STREAMING
         self.attempts.limiter.on_response(request.request_class.latency_objective_ms)
         self.attempts.set_executing(AttemptKey(event.id, event.attempt), False)
         self.attempts.cancel_in_flight(request, kept_attempt=event.attempt)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Handle the end of an attempt: its request is closed, is retried, or gets its final answer."""
+        """Handle the end of an attempt.
+
+        A final attempt closes its request. Otherwise a request without further attempts in flight is retried,
+        or gets its final answer where no retry is possible.
+        """
         if AttemptKey(event.id, event.attempt) not in self.attempts.table:
             return
         request = self.open_requests.get(event.id)
@@ -94,7 +102,8 @@
     def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
         """Handle the quota leader's verdict on a request: GRANT, QUEUED or DENY.
 
-        Where the plan's overage is worth its cost, a request without a grant is admitted beyond its quota.
+        A request without a grant is admitted as overage where its plan has no ceiling, and an overage weight
+        that exceeds the overage cost.
         """
         if not request.awaits_quota:
             return
@@ -119,7 +128,7 @@
             case TimerKind.LEASE_EXPIRED:
                 self.on_lease_reply(request, EntryKind.DENY)
             case _ if request.attempts_sent and not request.is_complete:
-                pass  # the objective and the deadline count from the request's last byte
+                pass  # the latency objective and the deadline start at the last byte of the request
             case TimerKind.HEDGE:
                 self.attempts.on_attempt_overdue(request)
             case TimerKind.QUEUE_TIMEOUT:
@@ -128,10 +137,11 @@
                 self.reject_or_fail(request)
 
     def reject_or_fail(self, request: RequestRecord) -> None:
-        """Give the final answer to a request that is not served: Reject or Fail.
+        """Give the final answer to a request that is not served, and close it.
 
-        A rejection promises that a retry by the client is harmless. For a request that was possibly executed,
-        this is certain only if all endpoints still know its idempotency key at the time of the retry.
+        The answer is Reject where a retry by the client is certain to be harmless, and otherwise Fail. For a
+        request that is not idempotent and may have been executed, a retry is harmless only if all endpoints
+        still know the idempotency key at that time.
         """
         refill_ms = request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf)
         retry_after_ms = min(max(MIN_RETRY_AFTER_MS, refill_ms), self._settings.max_retry_after_ms)
@@ -143,7 +153,7 @@
         self.close(request)
 
     def close(self, request: RequestRecord) -> None:
-        """End a request: remove it from all queues and cancel its attempts in flight."""
+        """End a request without an answer: remove it from all tables and cancel its attempts in flight."""
         self.open_requests.pop(request.id, None)
         request.account.in_flight -= not request.awaits_quota
         if request.phase is RequestPhase.QUEUED:
@@ -152,10 +162,14 @@
         self.attempts.cancel_in_flight(request)
 
     def _on_queue_timeout(self, request: RequestRecord) -> None:
-        """Give up a request that can no longer be answered in time, or admit it optimistically."""
+        """Handle the end of the time for which a request may be queued.
+
+        A request whose quota leader has not replied may be admitted without a grant. Any other request
+        without an attempt is rejected.
+        """
         if request.awaits_quota and self.lease_client.on_reply_overdue(request, is_last=True):
             self.dispatcher.enqueue(request)
-            # If the request cannot be dispatched in this turn, the next queue timeout gives it up.
+            # If the request cannot be dispatched in this turn, it is rejected at the next queue timeout.
             self._schedule(self._turn.now_ms + self._settings.tick_ms, TimerKind.QUEUE_TIMEOUT, request.id)
         elif request.attempts_sent == 0:
             self.reject_or_fail(request)
@@ -167,8 +181,8 @@
     def _queue_timeout_at_ms(self, request: RequestRecord) -> float:
         """Return the time until which a request may be queued.
 
-        Queueing has to leave time for the response. It also ends early enough for the client to use the
-        remaining time for a retry elsewhere.
+        After that time, too little would remain for the response. In any case queueing ends early enough for
+        the client to retry at another gateway before the deadline.
         """
         now_ms = self._turn.now_ms
         deadline_at_ms = request.arrival.deadline_at_ms
--- a/gateway/policy/requests/request_record.py
+++ b/gateway/policy/requests/request_record.py
@@ -12,9 +12,9 @@
 
 
 class RequestPhase(Enum):
-    """The progress of a request."""
+    """The stage of an open request."""
 
-    AWAITING_QUOTA = "awaiting quota"
+    AWAITING_QUOTA = "awaiting quota"  # not admitted yet
     QUEUED = "queued"  # admitted, and in the dispatch queue
     DISPATCHED = "dispatched"  # at least one attempt has been sent
     STREAMING = "streaming"  # the response has started
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestRecord:
-    """One request, from its arrival to its final answer."""
+    """The state of one request, from its arrival to its final answer."""
 
     id: int
     arrival: RequestArrived
@@ -30,29 +30,27 @@
     plan: Plan
     account: CustomerAccount
     arrived_at_ms: float
-    objective_at_ms: float  # the time at which the latency objective is reached
-    priority: float  # the greater one is dispatched first
+    objective_at_ms: float  # time up to which a response meets the latency objective
+    priority: float  # requests with greater values are dispatched first
     phase: RequestPhase = RequestPhase.AWAITING_QUOTA
-    is_complete: bool = True  # the last byte has been received
+    is_complete: bool = True  # the last byte of the request has been received from the client
     body_released: bool = False  # the start of the body has been discarded, so no further attempt is possible
     # Attempts.
-    attempts_sent: int = 0  # number of attempts sent
-    in_flight_endpoints: dict[int, EndpointRecord] = field(
-        default_factory=dict
-    )  # endpoints by attempt number
-    tried_endpoints: list[EndpointRecord] = field(default_factory=list)  # endpoints of all attempts
-    possible_executions: int = 0  # attempts that are not proved never to have been executed
-    key_endpoint: Endpoint | None = None  # entry of the first endpoint that may know the idempotency key
-    key_sent_at_ms: float = 0.0  # when the idempotency key was sent to that endpoint
-    slow_start_draws: int = 0  # number of draws for an endpoint in slow start
-    slow_start_retry_at_ms: float = 0.0  # earliest time of the next draw
+    attempts_sent: int = 0  # also the number of the next attempt
+    in_flight_endpoints: dict[int, EndpointRecord] = field(default_factory=dict)  # by attempt number
+    tried_endpoints: list[EndpointRecord] = field(default_factory=list)  # by attempt number, ended or not
+    possible_executions: int = 0  # attempts, except those proved not to have been executed by their endpoint
+    key_endpoint: Endpoint | None = None  # list entry of the first endpoint that may know the idempotency key
+    key_sent_at_ms: float = 0.0  # when the idempotency key was sent to `key_endpoint`
+    slow_start_draws: int = 0  # draws of the slow-start lottery in which the request took part
+    slow_start_retry_at_ms: float = 0.0  # earliest time of the next draw of the slow-start lottery
     # Quota.
-    lease_id: int = 0  # 0 before the first entry to the leader
+    lease_id: int = 0  # 0 before the first quota entry about this request is sent to the quota leader
     lease_requests: int = 0  # number of lease requests sent
     lease_requested_at_ms: float = 0.0  # when the last lease request was sent
     leader_replied: bool = False
-    units_drawn: float = 0.0  # units taken from the quota
-    within_quota: bool = True
+    units_drawn: float = 0.0  # units taken from the quota, by a grant or from the local bucket
+    within_quota: bool = True  # False for overage, which is admitted without a grant
 
     @classmethod
     def from_arrival(
@@ -63,7 +61,7 @@
         account: CustomerAccount,
         now_ms: float,
     ) -> RequestRecord:
-        """Return the record of a request that has just arrived."""
+        """Return the record of a request that has arrived at `now_ms` and is not admitted yet."""
         return cls(
             arrival.id,
             arrival,
