--- a/gateway/policy/dispatch/__init__.py
+++ b/gateway/policy/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Dispatch: the queue, the classes' shares, the concurrency limit and latency estimates."""
+"""Dispatch: the queue of admitted requests, the shares of classes, the concurrency limit and latencies."""
--- a/gateway/policy/dispatch/dispatcher.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatch queue: emptied below the concurrency limit, and ordered by shares and priorities at it."""
+"""The dispatch queue, which holds admitted requests while the concurrency limit permits no more attempts."""
 
 from collections.abc import Iterator
 
@@ -8,12 +8,16 @@
 from gateway.policy.requests.attempts import AttemptManager
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 
-MIN_WAIT_SAMPLES = 5  # dispatched requests per period below which the ages of queued ones count as waits
-MAX_OVERAGE_UTILIZATION = 0.5  # fraction of the concurrency limit in use that still permits overage
+MIN_WAIT_SAMPLES = 5  # dispatches per control period below which the ages of queued requests count as waits
+MAX_OVERAGE_UTILIZATION = 0.5  # fraction of the concurrency limit in use from which on overage has to wait
 
 
 class Dispatcher(PolicyComponent):
-    """The queue of admitted requests, and the shares of the concurrency limit by which it is dispatched."""
+    """The queue of admitted requests, and the shares of the concurrency limit that each class gets.
+
+    Requests within their quota are dispatched first, then those of higher priority, then newer ones. Where
+    not all of them can be dispatched, the requests within the share of their class take precedence.
+    """
 
     def __init__(self, context: PolicyContext, attempts: AttemptManager) -> None:
         super().__init__(context)
@@ -28,25 +32,25 @@
         self._waits_ms: dict[str, list[float]] = {request_class.name: [] for request_class in classes}
 
     def enqueue(self, request: RequestRecord) -> None:
-        """Queue an admitted request for the dispatch at the end of the turn."""
+        """Add an admitted request to the queue, for `dispatch` at the end of the turn."""
         request.phase = RequestPhase.QUEUED
         request.account.in_flight += 1
         self.queue.append(request)
 
     def update_shares(self) -> None:
-        """Update each class's share by the mean wait of this period."""
-        for class_name, share in self.shares.items():
+        """Update the share of each class by the mean wait of its requests in the last control period."""
+        for class_name, controller in self.shares.items():
             waits_ms = self._waits_ms[class_name]
             if len(waits_ms) < MIN_WAIT_SAMPLES:
                 waits_ms = [*waits_ms, *self._queued_ages_ms(class_name)]
-            share.update(sum(waits_ms) / len(waits_ms) if waits_ms else 0.0)
+            controller.update(sum(waits_ms) / len(waits_ms) if waits_ms else 0.0)
             self._waits_ms[class_name] = []
 
     def dispatch(self) -> None:
         """Start attempts for queued requests while the concurrency limit permits it.
 
-        Among equal priorities the newest request is first. The oldest first would bring all requests near
-        their objectives, and many beyond them.
+        Among requests of equal priority the newest is dispatched first. If the oldest were first, an overload
+        would delay all requests until close to their latency objectives, and many beyond.
         """
         if not self.queue or self._limiter.available_attempts() < 1:
             return
@@ -67,7 +71,7 @@
                 yield self._turn.now_ms - request.arrived_at_ms
 
     def _sort_by_shares(self) -> None:
-        """Move the requests to the front that are within their class's share and within their quota."""
+        """Move the requests to the front that are within both the share of their class and their quota."""
         remaining = self._remaining_shares()
         within_share: list[RequestRecord] = []
         beyond_share: list[RequestRecord] = []
@@ -81,9 +85,12 @@
         self.queue = within_share + beyond_share
 
     def _remaining_shares(self) -> dict[str, float]:
-        """Return how many more attempts each class's share of the concurrency limit permits."""
-        total = max(1.0, sum(share.share for share in self.shares.values()))
-        remaining = {name: share.share / total * self._limiter.limit for name, share in self.shares.items()}
+        """Return how many more attempts the share of each class permits, by class name."""
+        total = max(1.0, sum(controller.share for controller in self.shares.values()))
+        remaining = {
+            class_name: controller.share / total * self._limiter.limit
+            for class_name, controller in self.shares.items()
+        }
         for attempt in self._attempts.table:
             if attempt.is_executing:
                 remaining[attempt.request_class.name] -= 1
--- a/gateway/policy/dispatch/fuzzy_sets.py
+++ b/gateway/policy/dispatch/fuzzy_sets.py
@@ -4,12 +4,15 @@
 
 from collections.abc import Sequence
 
-CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # peaks of the triangular sets
-OUTPUT_STEPS_PER_SIDE = 20  # points on either side of 0 at which an output is evaluated
+CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # values that belong to one triangular set with degree 1
+OUTPUT_STEPS_PER_SIDE = 20  # steps from 0 to 1, and to -1, in the numerical integration of the output sets
 
 
 def memberships(value: float) -> list[float]:
-    """Return the degree, from 0 to 1, to which a value belongs to each of the sets."""
+    """Return the degree, from 0 to 1, to which a value belongs to each of the sets.
+
+    A value outside of [-1, 1] has the degrees of the nearer bound.
+    """
     bounded = max(-1.0, min(1.0, value))
     return [max(0.0, 1 - abs(bounded - centre) / (CENTRES[1] - CENTRES[0])) for centre in CENTRES]
 
@@ -21,7 +24,10 @@
 
 
 def centre_of_gravity(strengths: Sequence[float]) -> float:
-    """Return the centre of gravity of the sets, each cut off at its strength (max-min inference)."""
+    """Return the centre of gravity of all sets, each clipped at its strength (max-min inference).
+
+    At least one strength has to be greater than 0.
+    """
     moment = 0.0
     area = 0.0
     for output, degrees in _OUTPUT_MEMBERSHIPS:
--- a/gateway/policy/dispatch/fuzzy_share.py
+++ b/gateway/policy/dispatch/fuzzy_share.py
@@ -1,4 +1,4 @@
-"""The fuzzy controller of a class's dispatch share, which steers the class's queueing delay to its objective.
+"""The fuzzy controller of a class's share of the concurrency limit, by the queueing delay of the class.
 
 It is a Mamdani controller of PI type for absolute delays, by Tables 6 and 7 of the paper of Loudini et al.
 """
@@ -7,15 +7,18 @@
 
 from gateway.policy.dispatch.fuzzy_sets import CENTRES, centre_of_gravity, memberships
 
-ERROR_GAIN = 0.4  # controller input per second of error
-CHANGE_GAIN = 3.0  # controller input per second of change of the error
-OUTPUT_GAIN = 0.01  # change of the share for an output of 1
+ERROR_GAIN = 0.4  # controller input per second by which the mean wait is below its objective
+CHANGE_GAIN = 3.0  # controller input per second by which that error has changed in one control period
+OUTPUT_GAIN = 0.01  # decrease of the share for a controller output of 1
 MIN_SHARE = 0.05  # lower bound of a share, so that no class starves
-INPUT_DIGITS = 2  # decimal digits of a controller input, which bound the number of cached results
+INPUT_DIGITS = 2  # decimal digits to which inputs are rounded, so that few distinct inputs are cached
 
 
 class FuzzyShareController:
-    """The dispatch share of one class, whose objective for the mean wait is `objective_ms`."""
+    """Controls the share of the concurrency limit that one class gets.
+
+    `objective_ms` is the objective for the mean wait in the queue, and `share` the initial share, up to 1.
+    """
 
     def __init__(self, objective_ms: float, share: float) -> None:
         self.objective_s = objective_ms / 1000
@@ -23,15 +26,16 @@
         self._last_error_s: float | None = None
 
     def update(self, wait_ms: float) -> None:
-        """Update the share by the mean wait of one period: it grows while the class is late.
+        """Update the share by the mean wait of one control period.
 
-        The share does not shrink while the class waits less than its objective.
+        The share grows while the mean wait exceeds the objective. It does not shrink while the mean wait is
+        below the objective.
         """
         error_s = self.objective_s - wait_ms / 1000
         change_s = 0.0 if self._last_error_s is None else error_s - self._last_error_s
         self._last_error_s = error_s
         if error_s >= 0 and change_s >= 0:
-            return  # the output is not negative, and the share stays as it is
+            return  # the output would not be negative, and the share would stay as it is
         output = self.infer(
             round(ERROR_GAIN * error_s, INPUT_DIGITS), round(CHANGE_GAIN * change_s, INPUT_DIGITS)
         )
@@ -42,7 +46,10 @@
     @staticmethod
     @functools.cache
     def infer(error: float, change: float) -> float:
-        """Return the output, on [-1, 1], by the diagonal rule table."""
+        """Return the controller output, from -1 to 1, by max-min inference over the diagonal rule table.
+
+        `error` and `change` are the scaled error and its scaled change. Results are cached.
+        """
         strengths = [0.0] * len(CENTRES)
         for error_set, error_degree in enumerate(memberships(error)):
             for change_set, change_degree in enumerate(memberships(change)):
@@ -52,7 +59,10 @@
 
 
 def _output_set_index(error_set: int, change_set: int) -> int:
-    """Return the rule table's output set: the sum of both inputs' distances from the middle set, bounded."""
+    """Return the index of the output set in the rule table, for the indexes of both input sets.
+
+    Its distance from the middle set is the sum of the distances of both input sets, up to the outermost set.
+    """
     last_set = len(CENTRES) - 1
     middle_set = len(CENTRES) // 2
     return max(0, min(last_set, error_set + change_set - middle_set))
--- a/gateway/policy/dispatch/latency.py
+++ b/gateway/policy/dispatch/latency.py
@@ -1,23 +1,21 @@
-"""The expected latency of each class, and the time that a request has to leave for its response."""
+"""The expected latency of each class, and the time to reserve for a response before its objective."""
 
 from gateway.interface.settings import RequestClass
 
-MAX_RESPONSE_FRACTION = 0.45  # fraction of a class's latency objective reserved for the response at most
+MAX_RESPONSE_FRACTION = 0.45  # maximum fraction of a class's latency objective to reserve for the response
 MAX_INITIAL_LATENCY_MS = 200.0  # upper bound of a class's expected latency before its first response
-INITIAL_LATENCY_DIVISOR = 4  # the initial latency is at most the objective divided by this
+INITIAL_LATENCY_DIVISOR = 4  # the latency objective divided by this is another such upper bound
 LATENCY_GAIN = 0.05  # weight of a new sample in the moving average of a latency
-RESERVE_LATENCY_MULTIPLE = (
-    2.5  # expected latencies reserved before the objective; half the responses exceed one
-)
+RESERVE_LATENCY_MULTIPLE = 2.5  # expected latencies to reserve; half of the responses take more than one
 
 
 def max_wait_ms(request_class: RequestClass) -> float:
-    """Return how long a request may wait and still leave the response its fraction of the objective."""
+    """Return how long a request may wait if MAX_RESPONSE_FRACTION is reserved for its response."""
     return request_class.latency_objective_ms * (1 - MAX_RESPONSE_FRACTION)
 
 
 class LatencyEstimates:
-    """The expected latency of each class, as moving averages."""
+    """The expected latency of each class, which is a moving average over its responses."""
 
     def __init__(self, classes: tuple[RequestClass, ...]) -> None:
         self.expected_ms = {
@@ -29,7 +27,11 @@
         self.expected_ms[class_name] += (elapsed_ms - self.expected_ms[class_name]) * LATENCY_GAIN
 
     def response_reserve_ms(self, request_class: RequestClass) -> float:
-        """Return the time to reserve for a response, bounded so that slow classes are still dispatched."""
+        """Return the time to reserve for a response before the latency objective.
+
+        The time is bounded. Otherwise no request of a slow class would be dispatched, and no response could
+        lower the expected latency.
+        """
         expected_ms = RESERVE_LATENCY_MULTIPLE * self.expected_ms[request_class.name]
         return min(expected_ms, MAX_RESPONSE_FRACTION * request_class.latency_objective_ms)
 
--- a/gateway/policy/endpoints/__init__.py
+++ b/gateway/policy/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints: the table of them, their selection, slow start and outlier detection."""
+"""Endpoints: their records and directory, selection, slow start and outlier detection."""
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -1,4 +1,4 @@
-"""The directory of ready endpoints, sorted by their capacity and by this gateway's preference."""
+"""The directory of ready endpoints, divided by slow start and by the preference of this gateway."""
 
 import math
 
@@ -11,14 +11,14 @@
 from gateway.policy.endpoints.slow_start import capacity_fraction
 from gateway.policy.timers import TimerKind
 
-GATEWAYS_PER_ENDPOINT = 6  # gateways that prefer the same endpoint
-SLOW_START_SAFETY_FACTOR = 2.0  # divisor of the load that the settings permit during slow start
-SUBSCRIPTIONS_PER_POLL_INTERVAL = 4  # attempts to subscribe within the interval that the settings permit
+GATEWAYS_PER_ENDPOINT = 6  # number of gateways that prefer each endpoint in a large fleet
+SLOW_START_SAFETY_FACTOR = 2.0  # factor by which slow start stays below the load that the settings permit
+SUBSCRIPTIONS_PER_POLL_INTERVAL = 4  # after failures, attempts to subscribe per `poll_within_ms`
 REFERENCE_CAPACITY_TIME_CONSTANT_MS = 30_000.0  # time constant with which the reference capacity decays
 
 
 class EndpointDirectory(PolicyComponent):
-    """The endpoints of the fleet, and the lists of those that are ready."""
+    """The endpoints of the fleet, the lists of the ready ones, and their capacity."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
@@ -27,23 +27,26 @@
         self.starting: list[EndpointRecord] = []  # ready endpoints in slow start
         self.preferred: list[EndpointRecord] = []  # the warm endpoints that this gateway prefers
         self.capacity = 0.0  # capacity of the ready endpoints, in endpoints at full capacity
-        self.reference_capacity = 0.0  # decaying maximum of the capacity, in the same unit
-        self._min_reference_capacity = 0.0
+        self.reference_capacity = 0.0  # decaying maximum of `capacity`, in endpoints at full capacity
+        self._min_reference_capacity = 0.0  # value below which the reference capacity does not decay
 
     def apply_update(self, update: EndpointUpdate) -> list[EndpointRecord]:
-        """Apply an update of the endpoint list; return the endpoints that are no longer ready."""
+        """Apply an update of the endpoint list, and return the endpoints that are no longer ready.
+
+        The update must not be one that failed.
+        """
         ready_before = self.warm + self.starting
         self.table.apply_update(update)
         self._classify_ready_endpoints()
         return [endpoint for endpoint in ready_before if endpoint.entry.state is not EndpointState.READY]
 
     def on_update_failed(self) -> None:
-        """Schedule the next subscription after a failed one."""
+        """Schedule another subscription after a failed update of the endpoint list."""
         retry_at_ms = self._turn.now_ms + self._settings.poll_within_ms / SUBSCRIPTIONS_PER_POLL_INTERVAL
         self._schedule(retry_at_ms, TimerKind.SUBSCRIBE)
 
     def advance_period(self) -> None:
-        """Advance slow start and the reference capacity by one period, and drop removed endpoints."""
+        """Update slow start and the reference capacity for one period, and drop removed endpoints."""
         decayed = self.reference_capacity * decay(CONTROL_PERIOD_MS, REFERENCE_CAPACITY_TIME_CONSTANT_MS)
         self.reference_capacity = max(self._min_reference_capacity, decayed)
         if self.starting:
@@ -51,9 +54,10 @@
         self.table.drop_removed_endpoints()
 
     def preferred_subset(self, endpoints: list[EndpointRecord]) -> list[EndpointRecord]:
-        """Return the endpoints that this gateway prefers; in a small fleet all of them.
+        """Return the endpoints that this gateway prefers, which are all of them in a small fleet.
 
-        In a large fleet, each endpoint would otherwise hold rarely used connections of every gateway.
+        If every gateway of a large fleet used all endpoints, each endpoint would hold connections of every
+        gateway, and each connection would rarely be used.
         """
         gateways = self._settings.gateways
         length = math.ceil(len(endpoints) * GATEWAYS_PER_ENDPOINT / gateways)
@@ -62,7 +66,7 @@
         return preferred_arc(zone_interleaved_ring(endpoints), length, self._settings.number, gateways)
 
     def _classify_ready_endpoints(self) -> None:
-        """Sort the ready endpoints into the lists, and update both capacities."""
+        """Divide the ready endpoints into the lists, and update the capacity and the reference capacity."""
         self.warm = []
         self.starting = []
         self.capacity = 0.0
@@ -77,12 +81,14 @@
         self._update_reference_capacity(len(ready))
         self.preferred = self.preferred_subset(self.warm)
 
-    def _update_reference_capacity(self, ready: int) -> None:
-        """Raise the reference capacity to the current one, or to the least that `ready` endpoints imply.
+    def _update_reference_capacity(self, ready_count: int) -> None:
+        """Raise the reference capacity to at least the current capacity and a bound by `ready_count`.
 
-        A gateway that has just started has not observed the fleet at full capacity. The settings permit a
-        multiple of an endpoint's capacity during slow start, which bounds its fraction of the load.
+        An endpoint in slow start gets the fraction of the load that its capacity has of the reference
+        capacity. A gateway that has just started has not observed the fleet at full capacity, and the current
+        capacity alone may result in too great a fraction. The settings permit an endpoint in slow start a
+        multiple of its capacity, which bounds its fraction of the load.
         """
-        permitted = SLOW_START_SAFETY_FACTOR * ready / max(1.0, self._settings.overload_multiple)
-        self._min_reference_capacity = max(self.capacity, permitted)
+        min_capacity = SLOW_START_SAFETY_FACTOR * ready_count / max(1.0, self._settings.overload_multiple)
+        self._min_reference_capacity = max(self.capacity, min_capacity)
         self.reference_capacity = max(self._min_reference_capacity, self.reference_capacity)
--- a/gateway/policy/endpoints/endpoint_record.py
+++ b/gateway/policy/endpoints/endpoint_record.py
@@ -9,26 +9,26 @@
 
 
 class ClassCounts(dict[str, float]):
-    """Decaying counts by request class."""
+    """Decaying counts, by the name of the request class."""
 
     def decayed(self, fraction: float) -> ClassCounts:
-        """Return the counts, of each of which `fraction` remains."""
+        """Return a copy in which `fraction` of each count remains."""
         return ClassCounts({class_name: count * fraction for class_name, count in self.items()})
 
     def add(self, class_name: str, weight: float) -> None:
-        """Increase the count of a class."""
+        """Increase the count of a class by `weight`."""
         self[class_name] = self.get(class_name, 0.0) + weight
 
 
 @dataclass(slots=True, eq=False)
 class EndpointRecord:
-    """One endpoint: its entry in the endpoint list, and the observations of its attempts."""
+    """One endpoint: its entry in the endpoint list, and the estimates of its load, latency and failures."""
 
     entry: Endpoint
-    in_flight: int = 0  # own attempts that it is executing
-    latency_factor: float = 1.0  # its latency relative to the mean of the fleet
-    outcomes: ClassCounts = field(default_factory=ClassCounts)
-    failures: ClassCounts = field(default_factory=ClassCounts)
+    in_flight: int = 0  # attempts of this gateway that the endpoint is executing
+    latency_factor: float = 1.0  # latency relative to the mean of the fleet, at `observed_at_ms`
+    outcomes: ClassCounts = field(default_factory=ClassCounts)  # successes and failures, at `observed_at_ms`
+    failures: ClassCounts = field(default_factory=ClassCounts)  # failures alone, at `observed_at_ms`
     observed_at_ms: float = 0.0  # time of the last update of the latency factor and the counts
-    peer_load: float = 0.0  # attempts of other gateways in flight, by its last load report
-    reported_at_ms: float = NEVER_MS  # time of its last load report
+    peer_load: float = 0.0  # attempts of other gateways that the endpoint executes, by its last load report
+    reported_at_ms: float = NEVER_MS  # time of the endpoint's last load report
--- a/gateway/policy/endpoints/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -14,12 +14,14 @@
     """The records of the listed endpoints, and of removed ones that still have attempts in flight."""
 
     def __init__(self) -> None:
-        """Start with no endpoint."""
         self.by_id: dict[str, EndpointRecord] = {}
-        self.by_tag: dict[int, EndpointRecord] = {}  # endpoints whose tag is unique
+        self.by_tag: dict[int, EndpointRecord] = {}  # only endpoints whose tag no other endpoint has
 
     def apply_update(self, update: EndpointUpdate) -> None:
-        """Apply an update of the endpoint list; an endpoint that has restarted gets a new record."""
+        """Apply an update of the endpoint list.
+
+        An endpoint that has restarted gets a new record, without the estimates of its previous process.
+        """
         listed_ids = {entry.id for entry in update.endpoints}
         for endpoint_id, endpoint in self.by_id.items():
             if update.is_snapshot and endpoint_id not in listed_ids:
@@ -33,7 +35,7 @@
         self._drop_removed_and_index_tags()
 
     def drop_removed_endpoints(self) -> None:
-        """Drop removed endpoints without attempts in flight."""
+        """Drop the records of removed endpoints that have no attempts in flight."""
         if any(endpoint.entry.state is EndpointState.REMOVED for endpoint in self.by_id.values()):
             self._drop_removed_and_index_tags()
 
@@ -48,10 +50,10 @@
         ]
 
     def _drop_removed_and_index_tags(self) -> None:
-        """Drop removed endpoints and update the index by tag.
+        """Drop removed endpoints without attempts in flight, and rebuild the index by tag.
 
-        Tags have 16 bits. An observation that names a tag of two endpoints may concern either, so such a tag
-        is not in the index.
+        Tags have 16 bits, and two endpoints may have the same tag. An observation with that tag may concern
+        either endpoint, so the index contains neither.
         """
         self.by_id = {
             endpoint_id: endpoint
--- a/gateway/policy/endpoints/hash_ring.py
+++ b/gateway/policy/endpoints/hash_ring.py
@@ -1,4 +1,4 @@
-"""A hash ring of endpoints, of which each gateway prefers an arc."""
+"""A hash ring of endpoints, on which each gateway prefers the endpoints of one arc."""
 
 from __future__ import annotations
 
@@ -9,19 +9,23 @@
 from gateway.gossip.codec import endpoint_tag
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
-GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of two consecutive gateways
+GOLDEN_SECTION = 0.618  # fraction of the ring from the arc of one gateway to that of the next number
 
 
 class _RingEntry(NamedTuple):
-    """The place of an endpoint on the ring: its relative position within its zone, and that zone."""
+    """An endpoint with the fields by which it is sorted on the ring."""
 
-    position: float
+    position: float  # relative position among the endpoints of the same zone, from 0 to 1
     zone: str
     endpoint: EndpointRecord
 
 
 def zone_interleaved_ring(endpoints: Sequence[EndpointRecord]) -> list[EndpointRecord]:
-    """Return the endpoints in the order of the ring: by the hash of their ids, the zones evenly mixed."""
+    """Return the endpoints in the order of the ring.
+
+    The endpoints of each zone are in the order of the hashes of their ids, and the zones are interleaved
+    evenly.
+    """
     zones: dict[str, list[EndpointRecord]] = {}
     for endpoint in sorted(endpoints, key=_hash_sort_key):
         zones.setdefault(endpoint.entry.zone, []).append(endpoint)
@@ -37,11 +41,12 @@
 def preferred_arc(
     ring: Sequence[EndpointRecord], length: int, gateway: int, gateways: int
 ) -> list[EndpointRecord]:
-    """Return the arc of `length` endpoints that gateway `gateway` of `gateways` prefers.
+    """Return the arc of `length` endpoints of the ring that the gateway with number `gateway` prefers.
 
-    The arcs start at even distances, so that all endpoints are in equally many arcs, give or take one. When
-    an endpoint is added or removed, each arc changes by few endpoints. Gateways with consecutive numbers,
-    which often serve the same customers, have distant arcs.
+    `gateways` is the size of the fleet. The arcs start at even distances, so that the numbers of arcs in
+    which two endpoints are differ by one at most. When an endpoint is added or removed, each arc changes by
+    few endpoints. Gateways with consecutive numbers often serve the same customers, so their arcs are
+    distant from each other.
     """
     size = len(ring)
     start = gateway * _arc_step(gateways) % gateways * size // gateways
@@ -49,7 +54,10 @@
 
 
 def _arc_step(gateways: int) -> int:
-    """Return the distance between consecutive gateways' arcs, coprime to the number of gateways."""
+    """Return the distance between the arcs of gateways with consecutive numbers, in starts of arcs.
+
+    The distance is coprime to the number of gateways, so that each gateway has an arc of its own.
+    """
     first_candidate = round(gateways * GOLDEN_SECTION)
     return next(step for step in range(first_candidate, gateways) if math.gcd(step, gateways) == 1)
 
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -19,38 +19,42 @@
 from gateway.policy.endpoints.slow_start import SlowStartLottery
 from gateway.policy.requests.request_record import RequestRecord
 
-FAILURE_COST_FACTOR = 200.0  # cost per squared fraction of failures, relative to an idle endpoint's cost
-NON_IDEMPOTENT_COST_FACTOR = 2  # multiple of the failure cost for requests that can't be retried
-OTHER_ZONE_COST_FACTOR = 1.15  # multiple of the cost of an endpoint in another zone
-MAX_COST_JITTER = 1.1  # upper bound of the random cost factor that keeps gateways from choosing alike
-MIN_ENDPOINT_WEIGHT = 0.01  # lower bound of an endpoint's weight
-MIN_CANDIDATES = 2.0  # endpoints compared for an attempt at least
-CANDIDATES_PER_SEND = 4.0  # further endpoints compared per recent send to each endpoint
-FULL_UTILIZATION_ATTEMPTS = 2.0  # attempts in flight that a reported utilization of 1 counts as
-LOAD_REPORT_TIME_CONSTANT_MS = 1000.0  # time constant of load reports and of the count of recent sends
-MAX_REPORT_AGE_TIME_CONSTANTS = 50.0  # upper bound of a load report's age, in time constants of load reports
+FAILURE_COST_FACTOR = 200.0  # relative increase of an endpoint's cost per square of its failure rate
+NON_IDEMPOTENT_COST_FACTOR = 2  # multiple of FAILURE_COST_FACTOR for requests that cannot be retried
+OTHER_ZONE_COST_FACTOR = 1.15  # multiple of the cost of an endpoint in another zone than this gateway's
+MAX_COST_JITTER = 1.1  # upper bound of a random cost factor, without which all gateways would choose alike
+MIN_ENDPOINT_WEIGHT = 0.01  # lower bound of the weight by which an endpoint's cost is divided
+MIN_CANDIDATES = 2.0  # minimum number of endpoints whose costs are compared for an attempt
+CANDIDATES_PER_SEND = 4.0  # further endpoints compared per recent attempt sent to each endpoint on average
+FULL_UTILIZATION_ATTEMPTS = 2.0  # attempts in flight for which a reported utilization of 1 stands
+LOAD_REPORT_TIME_CONSTANT_MS = 1000.0  # time constant with which load reports and `recent_sends` decay
+MAX_REPORT_AGE_TIME_CONSTANTS = 50.0  # limit of a load report's age, in LOAD_REPORT_TIME_CONSTANT_MS
 
 EligibleEndpoints = list[EndpointRecord] | None  # endpoints that an idempotency key permits; None permits all
 
 
 class EndpointSelector(PolicyComponent):
-    """Selects endpoints from the directory, by the estimates of the outlier detector."""
+    """Selects endpoints for attempts from the directory, by load reports and the outlier detector."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
         self._lottery = SlowStartLottery(context)
         self.directory = EndpointDirectory(context)
         self.outliers = OutlierDetector(context)
-        self.recent_sends = 0.0  # decaying count of own attempts
+        self.recent_sends = 0.0  # decaying count of the attempts that this gateway has sent
 
     def advance_period(self) -> None:
-        """Advance the directory, the lottery and the count of sends by one period."""
+        """Update the directory, the slow-start lottery and the count of recent sends for one period."""
         self.directory.advance_period()
         self._lottery.decay_counts()
         self.recent_sends *= decay(CONTROL_PERIOD_MS, LOAD_REPORT_TIME_CONSTANT_MS)
 
     def on_load_report(self, endpoint: EndpointRecord, load: tuple[float, ...]) -> None:
-        """Update the load of an endpoint by the report in one of its responses."""
+        """Update the load of an endpoint by the load report in one of its responses.
+
+        `load` has the order of `Settings.report_fields`. A reported number of requests in flight includes the
+        attempts of this gateway, which are subtracted.
+        """
         values = dict(zip(self._settings.report_fields, load, strict=False))
         if REPORTED_IN_FLIGHT in values:
             endpoint.peer_load = max(0.0, values[REPORTED_IN_FLIGHT] - endpoint.in_flight)
@@ -60,10 +64,10 @@
         endpoint.reported_at_ms = self._turn.now_ms
 
     def on_observations(self, observations: Sequence[EndpointObservation]) -> None:
-        """Update the records of endpoints by the observations of a peer.
+        """Update the estimates of endpoints by the observations of another gateway.
 
-        Their weight decreases with the number of own attempts. Otherwise all gateways would leave the same
-        endpoint at once and overload the others.
+        The weight of these observations decreases with the number of attempts that this gateway sends itself.
+        Otherwise all gateways would leave the same endpoint at once and overload the other endpoints.
         """
         weight = MAX_PEER_OUTCOME_WEIGHT / (1 + self._weighted_sends_per_endpoint(len(self.directory.warm)))
         class_names = self.outliers.class_names
@@ -74,13 +78,16 @@
                 self.outliers.record_outcome(endpoint, class_name, latency_ratio_of(observation), weight)
 
     def avoids(self, endpoint: EndpointRecord) -> bool:
-        """Return whether an endpoint is not ready or ejected for a class, and gets few attempts or none."""
+        """Return whether an endpoint gets few attempts or none: it is not ready, or ejected for a class."""
         if endpoint.entry.state is not EndpointState.READY:
             return True
         return any(self.outliers.is_ejected(endpoint, name) for name in self.outliers.class_names)
 
     def choose_endpoint(self, request: RequestRecord, eligible: EligibleEndpoints) -> EndpointRecord | None:
-        """Return an endpoint for one more attempt, or None where there is none."""
+        """Return an endpoint for one more attempt, or None where no endpoint is eligible.
+
+        This is the endpoint in slow start that the lottery draws, or else a warm one with the least cost.
+        """
         warm = self._warm_candidates(request, eligible)
         directory = self.directory
         drawn = self._lottery.draw_endpoint(request, directory.starting, directory.reference_capacity)
@@ -89,11 +96,15 @@
         return self._lowest_cost_endpoint(self._sample_candidates(warm, request), request.request_class)
 
     def _weighted_sends_per_endpoint(self, endpoints: int) -> float:
-        """Return the mean number of recent own sends to an endpoint, times CANDIDATES_PER_SEND."""
+        """Return CANDIDATES_PER_SEND times the mean number of recent attempts per endpoint."""
         return CANDIDATES_PER_SEND * self.recent_sends / max(1, endpoints)
 
     def _warm_candidates(self, request: RequestRecord, eligible: EligibleEndpoints) -> list[EndpointRecord]:
-        """Return the preferred warm endpoints, or all warm ones where half of the preferred are ejected."""
+        """Return the warm endpoints that may be compared for an attempt.
+
+        These are the preferred endpoints that are not ejected, or all warm endpoints where at least half of
+        the preferred ones are ejected. An idempotency key may restrict them to the eligible ones instead.
+        """
         warm = self.directory.warm
         preferred = self.directory.preferred
         if eligible is not None:
@@ -112,10 +123,10 @@
         return not self.outliers.is_ejected(endpoint, request.request_class.name)
 
     def _sample_candidates(self, warm: list[EndpointRecord], request: RequestRecord) -> list[EndpointRecord]:
-        """Return the endpoints to compare: those not yet tried, or a random sample of these.
+        """Return the endpoints to compare: those that the request has not tried, or a random sample of them.
 
-        The sample is small where this gateway seldom sends. Its load reports are old then, and all gateways
-        with the same reports would overload the endpoint that appears to be best.
+        A gateway that seldom sends attempts takes a small sample. Its load reports are old, and if all
+        gateways with old reports compared all endpoints, they would overload the one that appears to be best.
         """
         count = math.ceil(MIN_CANDIDATES + self._weighted_sends_per_endpoint(len(warm)))
         untried = [endpoint for endpoint in warm if endpoint not in request.tried_endpoints] or warm
@@ -124,17 +135,20 @@
     def _lowest_cost_endpoint(
         self, candidates: list[EndpointRecord], request_class: RequestClass
     ) -> EndpointRecord | None:
-        """Return the endpoint with the least cost: its expected latency and risk of failure, with jitter."""
+        """Return the candidate with the least cost, or None where there is no candidate.
+
+        The cost is the load and the latency of an endpoint, increased by its failure rate and its distance.
+        """
         best = None
         best_cost = math.inf
         is_non_idempotent = request_class.idempotency is Idempotency.NON_IDEMPOTENT
         failure_cost = (NON_IDEMPOTENT_COST_FACTOR if is_non_idempotent else 1) * FAILURE_COST_FACTOR
         for endpoint in candidates:
-            age_time_constants = min(
+            report_age = min(
                 MAX_REPORT_AGE_TIME_CONSTANTS,
                 (self._turn.now_ms - endpoint.reported_at_ms) / LOAD_REPORT_TIME_CONSTANT_MS,
             )
-            load = 1 + endpoint.in_flight + endpoint.peer_load * math.exp(-age_time_constants)
+            load = 1 + endpoint.in_flight + endpoint.peer_load * math.exp(-report_age)
             cost = (
                 load
                 * self.outliers.latency_factor(endpoint)
--- a/gateway/policy/endpoints/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: an endpoint that has just started gets a fraction of its load that grows with its age.
+"""Slow start: an endpoint that has just started gets a fraction of its full load, which grows with its age.
 
 An endpoint in slow start fails permanently if all gateways together overload it. The attempts for such an
-endpoint are therefore drawn at random. Over all gateways it gets the fraction of the requests that it has of
-the fleet's capacity.
+endpoint are therefore drawn at random, so that without coordination of the gateways its fraction of all
+requests equals its fraction of the fleet's capacity.
 """
 
 from gateway.interface.events import Endpoint
@@ -12,12 +12,12 @@
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.requests.request_record import RequestRecord
 
-REDRAW_INTERVAL_MS = 1000.0  # interval after which a request that was not drawn may be drawn again
-DRAW_COUNT_TIME_CONSTANT_MS = 1000.0  # time constant of the counts of requests and draws
+REDRAW_INTERVAL_MS = 1000.0  # time after which a request takes part in a draw again
+DRAW_COUNT_TIME_CONSTANT_MS = 1000.0  # time constant with which the counts of requests and draws decay
 
 
 def capacity_fraction(settings: Settings, now_ms: float, endpoint: Endpoint) -> float:
-    """Return the fraction of its full capacity that an endpoint has reached."""
+    """Return the fraction of its full capacity that an endpoint has reached; 1 after slow start."""
     age_ms = now_ms - endpoint.started_ms
     if not endpoint.started_ms or age_ms >= settings.slow_start_ms:
         return 1.0
@@ -26,7 +26,7 @@
 
 
 class SlowStartLottery(PolicyComponent):
-    """Draws the attempts that go to endpoints in slow start."""
+    """Draws at random which attempts go to endpoints in slow start."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
@@ -34,7 +34,7 @@
         self._draws = 0.0  # decaying count of all draws
 
     def decay_counts(self) -> None:
-        """Let the counts decay by one period."""
+        """Let the counts of requests and draws decay by one control period."""
         remaining = decay(CONTROL_PERIOD_MS, DRAW_COUNT_TIME_CONSTANT_MS)
         self._requests = self._requests * remaining
         self._draws = self._draws * remaining
@@ -42,10 +42,11 @@
     def draw_endpoint(
         self, request: RequestRecord, starting: list[EndpointRecord], fleet_capacity: float
     ) -> EndpointRecord | None:
-        """Return the endpoint in slow start that a request has drawn, or None, which is the usual result.
+        """Return the endpoint in slow start to which an attempt goes, or None, which is the usual result.
 
-        `fleet_capacity` is the capacity that carries the load, in endpoints at full capacity. The fractions
-        apply to requests: where requests draw repeatedly, the chance of each draw decreases accordingly.
+        `fleet_capacity` is the capacity over which the load is divided, in endpoints at full capacity. An
+        endpoint's fraction of it is a fraction of the requests. Where requests take part in several draws,
+        the probability of each draw is smaller accordingly.
         """
         if not starting or self._turn.now_ms < request.slow_start_retry_at_ms:
             return None
