--- a/tests/policy/dispatch/test_concurrency_limit.py
+++ b/tests/policy/dispatch/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the limit of attempts in flight."""
+"""Tests of the limit on attempts in flight."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 def new_limiter(gateways):
-    """Return the concurrency limiter of a gateway in such a fleet, and the turn that holds its time."""
+    """Return the limiter of one gateway in a fleet of `gateways`, and the turn that provides its time."""
     context = PolicyContext(settings(gateways=gateways), 1)
     return ConcurrencyLimiter(context), context.turn
 
@@ -29,7 +29,7 @@
     assert few.limit > 5 * many.limit
 
 
-def test_limit_below_one_permits_random_but_not_steady_excess():
+def test_limit_below_two_attempts_may_be_exceeded_briefly_but_not_steadily():
     limiter, turn = new_limiter(400)
     limiter.advance_period(40)
     assert limiter.limit < 2 <= limiter.available_attempts()
@@ -40,8 +40,8 @@
     assert limiter.available_attempts() < 0
 
 
-def poisson(rng, mean):
-    """Return a random count whose standard deviation is the root of its mean."""
+def draw_poisson(rng, mean):
+    """Return a random count with a Poisson distribution, whose standard deviation is the root of the mean."""
     count = 0
     elapsed = rng.expovariate(1)
     while elapsed < mean:
@@ -51,8 +51,8 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40])
-def test_variance_of_a_small_share_does_not_hold_back_more_than_the_fleets(gateways):
-    """A fleet at four fifths of its limit of 240 seldom fills one gateway's share of it by chance."""
+def test_random_variation_seldom_exhausts_the_limit_of_one_gateway(gateways):
+    """While the fleet uses four fifths of its limit of 240, a gateway rarely fills its share by chance."""
     limiter, _ = new_limiter(gateways)
     rng = random.Random(5)
     limiter.advance_period(60)
@@ -60,7 +60,7 @@
     limiter.in_flight.mean = 0.8 * limiter.limit
     full = 0
     for _ in range(4000):
-        limiter.in_flight.value = poisson(rng, limiter.in_flight.mean)
+        limiter.in_flight.value = draw_poisson(rng, limiter.in_flight.mean)
         full += limiter.available_attempts() < 1
     assert full <= 0.04 * 4000
     limiter.in_flight.value = 0
--- a/tests/policy/dispatch/test_dispatcher.py
+++ b/tests/policy/dispatch/test_dispatcher.py
@@ -1,11 +1,11 @@
-"""Tests of the queue of admitted requests."""
+"""Tests of the dispatch queue."""
 
 from support.policy_events import SIX_ENDPOINTS, arrival, attempt_ended, new_controller, sends_in
 
 from gateway.interface.events import AttemptResult
 
 
-def test_queue_is_empty_below_the_limit_and_ordered_by_priority_at_it():
+def test_requests_are_queued_at_the_concurrency_limit_and_dispatched_by_priority():
     controller = new_controller(gateways=1)
     controller.handle(1000, [SIX_ENDPOINTS])
     arrivals = [arrival(n, customer=f"c{n}") for n in range(1, 200)]
--- a/tests/policy/dispatch/test_fuzzy_sets.py
+++ b/tests/policy/dispatch/test_fuzzy_sets.py
@@ -1,4 +1,4 @@
-"""Tests of the fuzzy sets that the share of a class is inferred from."""
+"""Tests of the fuzzy sets from which the share of a class is inferred."""
 
 import pytest
 from hypothesis import given, settings
@@ -35,7 +35,7 @@
 
 @settings(deadline=None, max_examples=200)
 @given(VALUES)
-def test_centre_of_gravity_is_odd_and_within_the_range(value):
+def test_centre_of_gravity_is_antisymmetric_and_within_the_range(value):
     degrees = memberships(value)
     centre = centre_of_gravity(degrees)
     assert -1.0 < centre < 1.0
--- a/tests/policy/dispatch/test_fuzzy_share.py
+++ b/tests/policy/dispatch/test_fuzzy_share.py
@@ -1,4 +1,4 @@
-"""Tests of the fuzzy share of the concurrency limit that a class gets."""
+"""Tests of the fuzzy controller of a class's share of the concurrency limit."""
 
 import itertools
 
@@ -13,7 +13,7 @@
 waits_ms = st.lists(st.floats(0, 10_000), max_size=20)
 
 
-def test_control_surface_is_the_diagonal_rule_table():
+def test_output_has_the_sign_of_the_sum_of_the_inputs_at_the_centres_of_the_sets():
     assert FuzzyShareController.infer(0, 0) == pytest.approx(0, abs=1e-9)
     for error, change in itertools.product(CENTRES, repeat=2):
         value = FuzzyShareController.infer(error, change)
@@ -23,7 +23,7 @@
 
 @given(controller_inputs, controller_inputs)
 @settings(deadline=None)
-def test_control_surface_is_bounded_and_antisymmetric(error, change):
+def test_output_is_bounded_and_antisymmetric(error, change):
     value = FuzzyShareController.infer(error, change)
     assert -1 <= value <= 1
     assert value == pytest.approx(-FuzzyShareController.infer(-error, -change), abs=1e-9)
@@ -32,17 +32,17 @@
 @given(waits_ms)
 @settings(deadline=None)
 def test_share_stays_between_its_minimum_and_one(waits_ms):
-    share = FuzzyShareController(500, 0.3)
+    controller = FuzzyShareController(500, 0.3)
     for wait_ms in waits_ms:
-        share.update(wait_ms)
-        assert MIN_SHARE <= share.share <= 1
+        controller.update(wait_ms)
+        assert MIN_SHARE <= controller.share <= 1
 
 
-def test_late_class_gains_share_and_early_class_keeps_it():
-    share = FuzzyShareController(500, 0.3)
+def test_share_grows_only_while_the_mean_wait_exceeds_its_objective():
+    controller = FuzzyShareController(500, 0.3)
     for _ in range(10):
-        share.update(100)
-    assert share.share == 0.3
+        controller.update(100)
+    assert controller.share == 0.3
     for _ in range(10):
-        share.update(3000)
-    assert share.share > 0.3
+        controller.update(3000)
+    assert controller.share > 0.3
--- a/tests/policy/endpoints/test_directory.py
+++ b/tests/policy/endpoints/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoints that a gateway prefers, and of its subscription to their list."""
+"""Tests of the endpoints that a gateway prefers, and of its subscription to the endpoint list."""
 
 import itertools
 
@@ -23,8 +23,8 @@
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
 
-def preferences(gateways, endpoints):
-    """Return the endpoints that each gateway of such a fleet prefers."""
+def preferred_by_gateway(gateways, endpoints):
+    """Return the lists of endpoints that the gateways of a fleet of `gateways` prefer, by number."""
     directories = [
         EndpointDirectory(PolicyContext(settings(number=n, gateways=gateways), 1)) for n in range(gateways)
     ]
@@ -32,6 +32,7 @@
 
 
 def endpoint_records(count, zones=2):
+    """Return the records of ready endpoints, which are divided evenly over the zones."""
     return [
         EndpointRecord(Endpoint(f"10.0.{n % 7}.{n}:80", f"z{n % zones}", 0, EndpointState.READY))
         for n in range(count)
@@ -41,25 +42,25 @@
 @pytest.mark.parametrize("gateways", [1, 3, GATEWAYS_PER_ENDPOINT])
 def test_small_fleet_prefers_all_endpoints(gateways):
     endpoints = endpoint_records(60)
-    assert all(preferred is endpoints for preferred in preferences(gateways, endpoints))
+    assert all(preferred is endpoints for preferred in preferred_by_gateway(gateways, endpoints))
 
 
 def check_even_division(preferred, endpoints):
     """Check that all gateways prefer equally many endpoints, and endpoints differ by one gateway at most."""
-    times = [sum(endpoint in subset for subset in preferred) for endpoint in endpoints]
-    assert min(times) >= GATEWAYS_PER_ENDPOINT and max(times) - min(times) <= 1
+    gateway_counts = [sum(endpoint in subset for subset in preferred) for endpoint in endpoints]
+    assert min(gateway_counts) >= GATEWAYS_PER_ENDPOINT and max(gateway_counts) - min(gateway_counts) <= 1
     assert len({len(subset) for subset in preferred}) == 1
     assert all(len({id(endpoint) for endpoint in subset}) == len(subset) for subset in preferred)
-    for subset in preferred:  # from both zones alike
-        assert abs(sum(one.entry.zone == "z0" for one in subset) - len(subset) / 2) <= 1.5
+    for subset in preferred:  # half of each subset is in either zone
+        assert abs(sum(endpoint.entry.zone == "z0" for endpoint in subset) - len(subset) / 2) <= 1.5
 
 
 @pytest.mark.parametrize(("gateways", "count"), [(40, 60), (40, 36), (40, 7), (16, 60), (47, 53), (300, 60)])
 def test_large_fleet_divides_its_endpoints_evenly(gateways, count):
     endpoints = endpoint_records(count)
-    preferred = preferences(gateways, endpoints)
+    preferred = preferred_by_gateway(gateways, endpoints)
     check_even_division(preferred, endpoints)
-    if count == 60 and gateways == 40:  # neighbouring gateways serve mostly the same customers
+    if count == 60 and gateways == 40:  # gateways with consecutive numbers serve mostly the same customers
         ids = [{id(endpoint) for endpoint in subset} for subset in preferred]
         assert all(len(a & b) < GATEWAYS_PER_ENDPOINT for a, b in itertools.pairwise(ids))
 
@@ -68,23 +69,23 @@
 @hypothesis.settings(deadline=None)
 def test_fleet_of_any_size_divides_its_endpoints_evenly(gateways, count):
     endpoints = endpoint_records(count)
-    check_even_division(preferences(gateways, endpoints), endpoints)
+    check_even_division(preferred_by_gateway(gateways, endpoints), endpoints)
 
 
 def test_removed_endpoint_changes_few_preferences():
     endpoints = endpoint_records(60)
-    before = preferences(40, endpoints)
-    after = preferences(40, endpoints[:20] + endpoints[21:])
-    moved = sum(one not in old for old, new in zip(before, after, strict=True) for one in new)
-    assert moved <= 0.15 * sum(map(len, before))
+    before = preferred_by_gateway(40, endpoints)
+    after = preferred_by_gateway(40, endpoints[:20] + endpoints[21:])
+    added = sum(endpoint not in old for old, new in zip(before, after, strict=True) for endpoint in new)
+    assert added <= 0.15 * sum(map(len, before))
 
 
-def test_gateway_with_failing_preferred_endpoints_uses_all():
-    """The preferred endpoints are lost with their zone, and the endpoint list does not say so yet."""
+def test_gateway_uses_all_endpoints_when_its_preferred_ones_fail():
+    """No preferred endpoint accepts connections, as after the loss of a zone, but all are listed as ready."""
     controller = new_controller(gateways=40)
     endpoints = tuple(Endpoint(f"s{n}", f"z{n % 2}", 0, EndpointState.READY) for n in range(60))
     controller.handle(1000, [EndpointUpdate(endpoints)])
-    preferred = {one.entry.id for one in controller.directory.preferred}
+    preferred = {endpoint.entry.id for endpoint in controller.directory.preferred}
     now = 1000.0
     sent = []
     assert len(preferred) == 9
--- a/tests/policy/endpoints/test_outlier_detection.py
+++ b/tests/policy/endpoints/test_outlier_detection.py
@@ -25,8 +25,8 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.OVERLOADED, AttemptResult.CONNECT_FAILED])
-def test_refusing_endpoint_draws_no_load_and_does_not_cut_the_limit(result):
-    """Its fast responses look like low load, and say nothing of the other endpoints."""
+def test_refusing_endpoint_attracts_no_load_and_does_not_reduce_the_limit(result):
+    """Fast refusals could be taken for low load, and the overload of one endpoint for that of the fleet."""
     controller = new_controller()
     controller.handle(1000.0, [SIX_ENDPOINTS])
     sent = []
@@ -44,23 +44,25 @@
     assert controller.flow.attempts.limiter.overload_factor == 1.0
 
 
-def names_with_one_tag():
-    """Return two names of endpoints that have the same tag."""
+def endpoint_ids_with_equal_tags():
+    """Return the ids of two endpoints that have the same tag."""
     by_tag: dict[int, str] = {}
     while True:
-        name = f"s{len(by_tag)}"
-        other = by_tag.setdefault(codec.endpoint_tag(name), name)
-        if other != name:
-            return other, name
+        endpoint_id = f"s{len(by_tag)}"
+        earlier_id = by_tag.setdefault(codec.endpoint_tag(endpoint_id), endpoint_id)
+        if earlier_id != endpoint_id:
+            return earlier_id, endpoint_id
 
 
 def test_observation_of_a_shared_tag_affects_neither_endpoint():
-    names = (*names_with_one_tag(), "lone")
+    ids = (*endpoint_ids_with_equal_tags(), "lone")
     controller = new_controller()
-    endpoints = tuple(Endpoint(name, "z0", 0, EndpointState.READY) for name in names)
+    endpoints = tuple(Endpoint(endpoint_id, "z0", 0, EndpointState.READY) for endpoint_id in ids)
     controller.handle(0.0, [EndpointUpdate(endpoints)])
-    observed = [codec.observe(name, 0, float("inf")) for name in (names[0], "lone")]
+    observed = [codec.observe(endpoint_id, 0, float("inf")) for endpoint_id in (ids[0], "lone")]
     controller.handle(4.0, [GossipReceived(1, codec.encode(5, 1.0, [], observed))])
-    known = controller.directory.table.by_id
-    failing = [controller.selector.outliers.failure_rate(known[name], "look") for name in names]
-    assert failing[:2] == [0.0, 0.0] and failing[2] > 0
+    records = controller.directory.table.by_id
+    failure_rates = [
+        controller.selector.outliers.failure_rate(records[endpoint_id], "look") for endpoint_id in ids
+    ]
+    assert failure_rates[:2] == [0.0, 0.0] and failure_rates[2] > 0
--- a/tests/policy/endpoints/test_slow_start.py
+++ b/tests/policy/endpoints/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Tests of the load that an endpoint gets after its start, from all gateways together."""
+"""Tests of the load that an endpoint in slow start gets from all gateways together."""
 
 import heapq
 import random
@@ -18,16 +18,16 @@
 )
 from gateway.policy.controller import Controller
 
-FIRST_UPDATE_MS = 50_004.0
-COLD_START_MS = 52_000.0
-ATTEMPT_MS = 120.0
-WINDOW_MS = 1500
-SLOW_START_MS = 8000
-SLOW_START_FLOOR = 0.25
-WARM_ENDPOINTS = 5
+FIRST_UPDATE_MS = 50_004.0  # time of the endpoint update with the warm endpoints
+COLD_START_MS = 52_000.0  # time at which the cold endpoint starts and is listed
+ATTEMPT_MS = 120.0  # duration of an attempt
+WINDOW_MS = 1500  # overload_window_ms in the settings
+SLOW_START_MS = 8000  # slow_start_ms in the settings
+SLOW_START_FLOOR = 0.25  # slow_start_floor in the settings
+WARM_ENDPOINTS = 5  # number of warm endpoints
 
 
-def test_slow_start_budget_holds_over_hundreds_of_gateways_after_a_stall():
+def test_400_gateways_do_not_overload_a_cold_endpoint_after_a_stall():
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 50_000.0)
     count = 0
     for n in range(400):
@@ -35,12 +35,15 @@
         controller.handle(50_000, [EndpointUpdate((*SIX_ENDPOINTS.endpoints, cold))])
         burst = [RequestArrived(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
         count += sum(send.endpoint == "cold" for send in sends_in(controller.handle(52_000, burst)))
-    warm = 400 * 3 / 7
-    assert 0 < count < 0.45 * 2 * warm
+    sends_per_warm_endpoint = 400 * 3 / 7
+    assert 0 < count < 0.45 * 2 * sends_per_warm_endpoint
 
 
 def endpoint_updates(now):
-    """Return the update that tells gateways of warm endpoints, or of the cold one, when it is due."""
+    """Return the endpoint updates that gateways receive at the time `now`.
+
+    The first update lists the warm endpoints, and the second one the cold endpoint at its start.
+    """
     if now == FIRST_UPDATE_MS:
         warm = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(WARM_ENDPOINTS)]
         return [EndpointUpdate(tuple(warm))]
@@ -51,7 +54,7 @@
 
 
 def sends_while_an_endpoint_starts(seed):
-    """Return the times and the endpoints of all attempts of three gateways."""
+    """Return the times and the endpoints of all attempts of three gateways, before and after a cold start."""
     rng = random.Random(seed)
     controllers = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
     now = 50_000.0
@@ -76,14 +79,14 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_cold_endpoint_gets_no_more_than_its_warmth_allows(seed):
+def test_cold_endpoint_gets_no_more_attempts_than_its_capacity_fraction_allows(seed):
     sends = sends_while_an_endpoint_starts(seed)
     for start_ms in range(52_000, 54_500, 100):
         end_ms = start_ms + WINDOW_MS
         chosen = [endpoint for at_ms, endpoint in sends if start_ms <= at_ms < end_ms]
-        warmth = SLOW_START_FLOOR + (1 - SLOW_START_FLOOR) * (end_ms - COLD_START_MS) / SLOW_START_MS
-        sent_to_a_warm_one = sum(endpoint != "cold" for endpoint in chosen) / WARM_ENDPOINTS
-        assert chosen.count("cold") <= warmth * sent_to_a_warm_one * 1.5 + 3
+        fraction = SLOW_START_FLOOR + (1 - SLOW_START_FLOOR) * (end_ms - COLD_START_MS) / SLOW_START_MS
+        sends_per_warm_endpoint = sum(endpoint != "cold" for endpoint in chosen) / WARM_ENDPOINTS
+        assert chosen.count("cold") <= fraction * sends_per_warm_endpoint * 1.5 + 3
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 30, 230])
--- a/tests/policy/requests/test_attempts.py
+++ b/tests/policy/requests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of retries, and of what is known about the execution of attempts."""
+"""Tests of retries, and of final answers to requests that may have been executed."""
 
 import math
 from dataclasses import replace
@@ -21,7 +21,7 @@
 from gateway.policy.controller import Controller
 
 
-def test_error_is_retried_elsewhere_if_idempotent_and_failed_otherwise():
+def test_request_with_an_error_is_retried_elsewhere_if_idempotent_and_failed_otherwise():
     controller = new_controller()
     sends = sends_in(controller.handle(1000, [SIX_ENDPOINTS, arrival(1), arrival(2, "debit")]))
     idempotent, other = sorted(sends, key=lambda send: send.id)
@@ -33,7 +33,7 @@
 
 
 def test_retry_of_a_keyed_request_carries_its_send_deadline():
-    """Its window starts with the first attempt that may have been executed."""
+    """The deduplication window starts with the first attempt that may have been executed."""
     controller = new_controller()
     (first,) = sends_in(controller.handle(1000, [SIX_ENDPOINTS, arrival(1, "hold")]))
     ended = attempt_ended(first, AttemptResult.CONNECT_FAILED)
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize(("after_ms", "harmless"), [(100, True), (1100, False)])
 def test_possibly_executed_keyed_request_is_rejected_only_within_its_window(after_ms, harmless):
-    """The window is 1200 ms, and Retry-After is 250 ms."""
+    """The deduplication window is 1200 ms, and Retry-After is 250 ms."""
     controller = new_controller(max_attempts=1)
     (send,) = sends_in(controller.handle(1000, [SIX_ENDPOINTS, arrival(1, "seat")]))
     actions = controller.handle(1000 + after_ms, [attempt_ended(send, AttemptResult.RESET)])
@@ -55,7 +55,8 @@
 
 
 @pytest.mark.parametrize(("name", "moved"), [("hold", ("z1", 0)), ("book", ("z0", 2))])
-def test_retry_of_a_keyed_request_stays_in_its_first_endpoints_scope(name, moved):
+def test_retry_of_a_keyed_request_stays_in_the_key_scope_of_its_first_endpoint(name, moved):
+    """The endpoint list moves the first endpoint to another zone or cell while the attempt is in flight."""
     zone, cell = moved
     controller = new_controller()
     first = Endpoint("a", "z0", 0, EndpointState.READY)
@@ -77,11 +78,11 @@
     assert retry.id == 1
 
 
-def test_not_executed_attempt_does_not_clear_a_possibly_executed_one():
-    """The attempt with an error may have been executed, although the next one at the endpoint was not."""
+def test_attempt_proved_not_executed_does_not_disprove_an_earlier_possible_execution():
+    """The first attempt ends with an error and may have been executed; the second one is refused."""
     controller = Controller(settings(may_gossip=False), 1)
-    only = EndpointUpdate((Endpoint("s0", "z0", 0, EndpointState.READY),))
-    (send,) = sends_in(controller.handle(1000, [only, arrival(1, "book", deadline_at_ms=1900)]))
+    single = EndpointUpdate((Endpoint("s0", "z0", 0, EndpointState.READY),))
+    (send,) = sends_in(controller.handle(1000, [single, arrival(1, "book", deadline_at_ms=1900)]))
     (retry,) = sends_in(controller.handle(1010, [attempt_ended(send, AttemptResult.ERROR)]))
     other = EndpointUpdate(
         (Endpoint("s0", "z0", 0, EndpointState.DRAINING), Endpoint("s9", "z0", 3, EndpointState.READY))
--- a/tests/policy/requests/test_request_flow.py
+++ b/tests/policy/requests/test_request_flow.py
@@ -14,7 +14,7 @@
 from gateway.interface.events import AttemptResult, EndpointUpdate, TimerFired
 
 
-def test_request_is_sent_and_ends():
+def test_request_is_sent_and_closed_by_its_successful_attempt():
     controller = new_controller()
     sends = sends_in(controller.handle(1000, [SIX_ENDPOINTS, arrival(1)]))
     assert [send.id for send in sends] == [1]
@@ -34,8 +34,8 @@
 
 
 @pytest.mark.parametrize("deadline_at_ms", [1150.0, 1300.0, 1500.0, 2000.0])
-def test_request_is_queued_for_less_than_half_of_its_deadline(deadline_at_ms):
-    """The expected latency alone would allow it to stay queued almost until its deadline."""
+def test_request_is_queued_for_less_than_half_of_the_time_to_its_deadline(deadline_at_ms):
+    """The expected latency of 20 ms alone would allow queueing almost until the deadline."""
     controller = new_controller()
     controller.flow.attempts.latencies.expected_ms["look"] = 20.0
     controller.handle(1000, [EndpointUpdate(()), arrival(1, deadline_at_ms=deadline_at_ms)])
--- a/tests/policy/requests/test_streamed_requests.py
+++ b/tests/policy/requests/test_streamed_requests.py
@@ -23,24 +23,24 @@
     controller = new_controller()
     first = controller.handle(0.0, [SIX_ENDPOINTS, incomplete_arrival(1)])
     assert [send.id for send in sends_in(first)] == [1]
-    for step in range(1, 1000):  # 4 s, which is past its first deadline
+    for step in range(1, 1000):  # 4 s, which is beyond the deadline of the arrival
         actions = controller.handle(step * 4.0, [])
         assert not actions_of(SendAttempt | Fail | Reject, actions)
     controller.handle(4000.0, [BodyReleased(1), RequestCompleted(1, 5500.0)])
     late = [action for step in range(1001, 1400) for action in controller.handle(step * 4.0, [])]
-    assert [type(one) for one in actions_of(SendAttempt | Fail | Reject, late)] == [Reject]
+    assert [type(action) for action in actions_of(SendAttempt | Fail | Reject, late)] == [Reject]
 
 
 @pytest.mark.parametrize(("released", "expected"), [(False, SendAttempt), (True, Reject)])
-def test_released_body_is_not_retried(released, expected):
+def test_request_is_retried_only_while_its_body_is_not_released(released, expected):
     controller = new_controller()
     (send,) = sends_in(controller.handle(0.0, [SIX_ENDPOINTS, incomplete_arrival(1)]))
     ended = AttemptEnded(1, 0, send.endpoint, 1.0, AttemptResult.CONNECT_FAILED, False)
     actions = controller.handle(4.0, [BodyReleased(1), ended] if released else [ended])
-    assert [type(one) for one in actions_of(SendAttempt | Reject, actions)] == [expected]
+    assert [type(action) for action in actions_of(SendAttempt | Reject, actions)] == [expected]
 
 
-def test_transfer_takes_no_capacity_while_no_endpoint_executes_it():
+def test_streamed_request_counts_as_in_flight_only_while_its_endpoint_executes_it():
     controller = new_controller()
     (send,) = sends_in(controller.handle(0.0, [SIX_ENDPOINTS, incomplete_arrival(1)]))
     in_flight = controller.flow.attempts.limiter.in_flight
--- a/tests/policy/test_context.py
+++ b/tests/policy/test_context.py
@@ -1,4 +1,4 @@
-"""Tests of the decision package: turns."""
+"""Tests of turns and incarnations."""
 
 import pytest
 from support.policy_settings import settings
@@ -18,21 +18,21 @@
     ("pause_ms", "is_stall"),
     [(0.0, False), (STALL_PERIODS * CONTROL_PERIOD_MS, False), (STALL_PERIODS * CONTROL_PERIOD_MS + 1, True)],
 )
-def test_turn_after_a_long_pause_follows_a_stall(pause_ms, is_stall):
+def test_turn_follows_a_stall_only_after_a_pause_of_more_than_the_stall_periods(pause_ms, is_stall):
     turn = Turn()
     turn.start(1000.0)
     turn.start(1000.0 + pause_ms)
     assert turn.follows_stall is is_stall
 
 
-def test_turn_starts_without_the_actions_of_the_last_one():
+def test_new_turn_has_no_actions_and_leaves_the_previous_list_unchanged():
     turn = Turn()
     turn.start(1000.0)
-    last = turn.actions
-    last.append(SubscribeEndpoints())
+    previous_actions = turn.actions
+    previous_actions.append(SubscribeEndpoints())
     turn.start(1001.0)
     assert turn.actions == []
-    assert last == [SubscribeEndpoints()]
+    assert previous_actions == [SubscribeEndpoints()]
 
 
 def test_equal_seeds_give_equal_incarnations():
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -1,4 +1,4 @@
-"""Tests of the controller over all parts of the policy."""
+"""Tests of the controller with all its components."""
 
 import math
 
@@ -29,19 +29,19 @@
 from gateway.policy.timers import TimerKind
 
 
-def test_unusual_events_are_handled():
+def test_events_about_unknown_classes_plans_and_requests_are_rejected_or_ignored():
     controller = new_controller()
-    odd_events = [
+    events_without_effect = [
         EndpointUpdate(()),
         EndpointUpdate((), failed=True),
         TimerFired("never asked"),
         ClientDisconnected(77),
     ]
-    controller.handle(1000, odd_events)
+    controller.handle(1000, events_without_effect)
     unknown = [arrival(1, "no such class"), arrival(2, plan_name="no such plan")]
     assert rejections_in(controller.handle(1001, unknown)) == [Reject(1), Reject(2)]
-    late = arrival(3, deadline_at_ms=900.0)
-    assert rejections_in(controller.handle(1002, [late])) == [Reject(3)]
+    expired = arrival(3, deadline_at_ms=900.0)
+    assert rejections_in(controller.handle(1002, [expired])) == [Reject(3)]
     controller.handle(1003, [arrival(4)])
     assert 4 in controller.flow.open_requests  # queued, because there is no endpoint
     (send,) = sends_in(controller.handle(1004, [SIX_ENDPOINTS]))
@@ -74,20 +74,20 @@
     assert len(controller.context.timers) < 300
 
 
-def test_failing_event_does_not_lose_the_others_of_its_turn():
+def test_exception_in_one_event_does_not_affect_the_other_events_of_the_turn():
     controller = new_controller(gateways=1, number=0)
-    odd = RequestArrived(1, "c", "look", "rated", 5000.0, units="many")
-    sends = sends_in(controller.handle(1000, [SIX_ENDPOINTS, odd, arrival(2)]))
+    invalid_arrival = RequestArrived(1, "c", "look", "rated", 5000.0, units="many")
+    sends = sends_in(controller.handle(1000, [SIX_ENDPOINTS, invalid_arrival, arrival(2)]))
     assert [send.id for send in sends] == [2] and len(controller.errors) == 1
     controller.handle(1001, [])
     assert not controller.errors
 
 
-FLEET_SIZE = 1024  # gateways, and endpoints
+FLEET_SIZE = 1024  # number of gateways, and of endpoints
 
 
-def test_thousand_gateways_and_endpoints_are_handled():
-    """Every endpoint is known, nearly every one by its tag, and every gateway can send and receive."""
+def test_fleet_of_1024_gateways_and_endpoints_is_supported():
+    """Nearly all endpoints have a unique tag, and gateways with numbers above 255 send and receive gossip."""
     endpoints = tuple(
         Endpoint(f"s-{n:08x}", f"z{n % 3}", n % 64, EndpointState.READY, 1.0, 0.0 if n % 8 else 900.0)
         for n in range(FLEET_SIZE)
@@ -120,8 +120,8 @@
     assert not controller.errors
 
 
-def actions_of_a_fleet(gateways):
-    """Return how many actions one gateway of a fleet of this size takes in 2 s."""
+def count_actions(gateways):
+    """Return how many actions one gateway in a fleet of `gateways` takes in 2 s of simulated time."""
     controller = new_controller(gateways=gateways, number=1)
     controller.handle(1000, [SIX_ENDPOINTS])
     total = 0
@@ -132,6 +132,6 @@
     return total
 
 
-def test_work_for_one_request_does_not_grow_with_the_fleet():
-    """Fewer than 40 gateways lead most of their customers' quotas themselves, and are no measure."""
-    assert actions_of_a_fleet(400) < 1.5 * actions_of_a_fleet(40)
+def test_actions_per_request_do_not_grow_with_the_number_of_gateways():
+    """A gateway in a fleet of fewer than 40 leads most of its customers' quotas, and sends less gossip."""
+    assert count_actions(400) < 1.5 * count_actions(40)
--- a/tests/policy/test_decay.py
+++ b/tests/policy/test_decay.py
@@ -1,4 +1,4 @@
-"""Tests of the decision package: decay."""
+"""Tests of exponential decay, and of the count with a decaying mean."""
 
 import math
 
@@ -36,7 +36,7 @@
 
 @settings(deadline=None, max_examples=100)
 @given(st.lists(st.tuples(st.floats(0.0, 1000.0), st.integers(0, 9)), max_size=20))
-def test_mean_stays_between_the_least_and_the_greatest_count(steps):
+def test_mean_stays_between_0_and_the_greatest_count(steps):
     count = CountWithMean(500.0)
     now_ms = 0.0
     greatest = 0
--- a/tests/policy/test_rule_checker.py
+++ b/tests/policy/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the independent checker: each broken rule raises, and its limits are allowed."""
+"""Tests of the rule checker: it raises for each broken rule, and allows values at the limit of the rule."""
 
 import math
 
@@ -19,7 +19,7 @@
 
 
 def checker_with(class_name, plan_name="rated", requests=1, units=1):
-    """Return a checker with open requests of one customer."""
+    """Return a checker with open requests of one customer, which have the ids from 1 to `requests`."""
     checker = RuleChecker(settings())
     for request_id in range(1, requests + 1):
         checker.on_arrival(0, arrival(request_id, class_name, plan_name, DEADLINE_AT_MS, units=units))
@@ -27,10 +27,11 @@
 
 
 def send(checker, now, endpoint=FIRST, send_by_ms=math.inf, request_id=1, withdrawn_ms=None):
+    """Pass an attempt to the checker; `withdrawn_ms` is when its endpoint was withdrawn, if it was."""
     checker.on_send(now, SendAttempt(request_id, endpoint.id, 100.0, send_by_ms), endpoint, withdrawn_ms)
 
 
-def test_attempt_after_the_end_of_its_request_is_found():
+def test_attempt_after_the_end_of_its_request_raises():
     checker = checker_with("look")
     checker.close(1)
     with pytest.raises(AssertionError, match="rule 1"):
@@ -38,33 +39,33 @@
 
 
 @pytest.mark.parametrize("end", ["on_success", "on_failure"])
-def test_late_answer_is_found(end):
-    punctual = checker_with("look")
-    getattr(punctual, end)(DEADLINE_AT_MS + CLOCK_SLACK_MS, 1)
+def test_answer_after_the_deadline_and_the_clock_slack_raises(end):
+    checker = checker_with("look")
+    getattr(checker, end)(DEADLINE_AT_MS + CLOCK_SLACK_MS, 1)
     checker = checker_with("look")
     with pytest.raises(AssertionError, match="rule 1"):
         getattr(checker, end)(DEADLINE_AT_MS + CLOCK_SLACK_MS + 1, 1)
 
 
-def test_late_rejection_is_found():
+def test_rejection_after_the_deadline_and_the_clock_slack_raises():
     checker = checker_with("look")
     with pytest.raises(AssertionError, match="rule 1"):
         checker.on_rejection(DEADLINE_AT_MS + CLOCK_SLACK_MS + 1, 1, 0.0)
 
 
-def test_stream_may_end_late():
+def test_streamed_response_may_end_after_the_deadline():
     checker = checker_with("feed")
     checker.on_success(DEADLINE_AT_MS + 1000, 1)
     assert not checker.open
 
 
-def test_overdue_request_is_found():
+def test_open_request_is_overdue_after_its_deadline_and_the_clock_slack():
     checker = checker_with("look")
     assert not checker.overdue(DEADLINE_AT_MS + CLOCK_SLACK_MS)
     assert checker.overdue(DEADLINE_AT_MS + CLOCK_SLACK_MS + 1) == [1]
 
 
-def test_repetition_of_a_non_idempotent_request_is_found_unless_proved_not_executed():
+def test_repetition_of_a_non_idempotent_request_raises_unless_proved_not_executed():
     checker = checker_with("debit")
     send(checker, NOW)
     checker.on_not_executed(1, 0)
@@ -74,7 +75,7 @@
 
 
 @pytest.mark.parametrize(("now", "send_by_ms"), [(NOW + 1, WINDOW_END_MS + 1), (NOW + 10, NOW + 10)])
-def test_repetition_of_a_keyed_request_past_its_window_is_found(now, send_by_ms):
+def test_repetition_of_a_keyed_request_after_its_deduplication_window_raises(now, send_by_ms):
     checker = checker_with("seat")
     send(checker, NOW)
     send(checker, NOW + 1, send_by_ms=WINDOW_END_MS)
@@ -85,7 +86,7 @@
 @pytest.mark.parametrize(
     ("class_name", "allowed", "forbidden"), [("book", FIRST, OTHER_CELL), ("hold", OTHER_CELL, OTHER_ZONE)]
 )
-def test_repetition_of_a_keyed_request_outside_its_scope_is_found(class_name, allowed, forbidden):
+def test_repetition_of_a_keyed_request_outside_its_key_scope_raises(class_name, allowed, forbidden):
     checker = checker_with(class_name)
     send(checker, NOW)
     send(checker, NOW + 1, allowed, WINDOW_END_MS)
@@ -94,7 +95,7 @@
 
 
 @pytest.mark.parametrize("class_name", ["debit", "book", "hold"])
-def test_rejection_of_a_possibly_executed_request_is_found(class_name):
+def test_rejection_of_a_possibly_executed_request_raises(class_name):
     checker = checker_with(class_name)
     send(checker, NOW)
     with pytest.raises(AssertionError, match="rule 2: rejected"):
@@ -111,7 +112,7 @@
     assert checker.done == {1}
 
 
-def test_rejection_of_a_request_with_a_global_key_is_allowed_within_its_window_only():
+def test_rejection_of_a_possibly_executed_request_with_a_global_key_is_allowed_only_within_its_window():
     retry_after_ms = WINDOW_END_MS - NOW - 10
     allowed = checker_with("seat")
     send(allowed, NOW)
@@ -122,14 +123,14 @@
         checker.on_rejection(NOW + 10, 1, retry_after_ms)
 
 
-def test_attempt_at_an_endpoint_withdrawn_for_longer_than_the_grace_period_is_found():
+def test_attempt_at_an_endpoint_withdrawn_for_longer_than_the_grace_period_raises():
     checker = checker_with("look")
     send(checker, NOW, withdrawn_ms=NOW - DRAIN_GRACE_MS)
     with pytest.raises(AssertionError, match="rule 3"):
         send(checker, NOW + 1, withdrawn_ms=NOW - DRAIN_GRACE_MS)
 
 
-def test_units_beyond_a_ceiling_are_found():
+def test_units_beyond_a_ceiling_and_its_slack_raise():
     """The burst is 32 and the slack 4, so nine requests of four units are allowed."""
     checker = checker_with("look", "capped", requests=10, units=4)
     for request_id in range(1, 10):
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""Random days of a fleet, in which an independent checker holds every action to the service rules."""
+"""Tests of the service rules: a rule checker checks every action of simulated fleets with random events."""
 
 import pytest
 from support.simulated_fleet import SimulatedFleet
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rules_hold_over_random_days(seed):
+def test_rules_hold_with_random_events_and_datagram_loss(seed):
     fleet = SimulatedFleet(seed, gateways=2 + seed % 3, loss_probability=(0.1, 0.5, 1.0)[seed % 3])
     fleet.run(20_000)
     assert len(fleet.checker.done) > 1000
@@ -58,7 +58,7 @@
     assert max(fleet.incarnations.values()) > 5
 
 
-def test_same_events_give_same_actions():
+def test_same_seed_gives_same_actions():
     first = SimulatedFleet(7)
     second = SimulatedFleet(7)
     first.run(4000)
