--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -159,8 +159,8 @@
         that admits requests. Where the settings permit no gossip, entries for other processes are dropped.
         """
         role = self.context.role
-        is_to_this_gateway = gateway == self.settings.number and not role.is_retired
-        if is_to_this_gateway and incarnation in (None, role.incarnation):
+        may_be_for_this_process = gateway == self.settings.number and not role.is_retired
+        if may_be_for_this_process and incarnation in (None, role.incarnation):
             self._on_quota_entry(gateway, role.incarnation, entry)
         elif self.settings.may_gossip:
             self.pace.outbox.add(gateway, entry)
--- a/gateway/policy/endpoints/hash_ring.py
+++ b/gateway/policy/endpoints/hash_ring.py
@@ -9,7 +9,7 @@
 from gateway.gossip.codec import endpoint_tag
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
-GOLDEN_SECTION = 0.618  # fraction of the ring from the arc of one gateway to that of the next number
+GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of gateways with consecutive numbers
 
 
 class _RingEntry(NamedTuple):
@@ -43,9 +43,9 @@
 ) -> list[EndpointRecord]:
     """Return the arc of `length` endpoints of the ring that the gateway with number `gateway` prefers.
 
-    `gateways` is the size of the fleet. The arcs start at even distances, so that the numbers of arcs in
-    which two endpoints are differ by one at most. When an endpoint is added or removed, each arc changes by
-    few endpoints. Gateways with consecutive numbers often serve the same customers, so their arcs are
+    `gateways` is the number of gateways in the fleet. The arcs start at even distances, so that all endpoints
+    are in the same number of arcs, give or take one. When an endpoint is added or removed, each arc changes
+    by few endpoints. Gateways with consecutive numbers often serve the same customers, so their arcs are
     distant from each other.
     """
     size = len(ring)
@@ -54,9 +54,9 @@
 
 
 def _arc_step(gateways: int) -> int:
-    """Return the distance between the arcs of gateways with consecutive numbers, in starts of arcs.
+    """Return how many arcs later the arc of the next gateway starts.
 
-    The distance is coprime to the number of gateways, so that each gateway has an arc of its own.
+    The result is coprime to the number of gateways, so that no two gateways have the same arc.
     """
     first_candidate = round(gateways * GOLDEN_SECTION)
     return next(step for step in range(first_candidate, gateways) if math.gcd(step, gateways) == 1)
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -81,7 +81,7 @@
         """Return whether an endpoint gets few attempts or none: it is not ready, or ejected for a class."""
         if endpoint.entry.state is not EndpointState.READY:
             return True
-        return any(self.outliers.is_ejected(endpoint, name) for name in self.outliers.class_names)
+        return any(self.outliers.is_ejected(endpoint, class_name) for class_name in self.outliers.class_names)
 
     def choose_endpoint(self, request: RequestRecord, eligible: EligibleEndpoints) -> EndpointRecord | None:
         """Return an endpoint for one more attempt, or None where no endpoint is eligible.
@@ -137,7 +137,8 @@
     ) -> EndpointRecord | None:
         """Return the candidate with the least cost, or None where there is no candidate.
 
-        The cost is the load and the latency of an endpoint, increased by its failure rate and its distance.
+        The cost is the load of an endpoint times its latency. The failure rate, another zone and random
+        jitter increase it.
         """
         best = None
         best_cost = math.inf
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -25,7 +25,7 @@
 
 MAX_QUEUED_FRACTION = 0.45  # fraction of the time from arrival to deadline that a request may be queued
 MIN_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection, unless the settings limit it to less
-DEADLINE_MARGIN_TICKS = 2  # timer ticks from the final answer to an unserved request to its deadline
+DEADLINE_MARGIN_TICKS = 2  # timer ticks before its deadline at which an unserved request is answered
 
 
 class RequestFlow(PolicyComponent):
@@ -108,8 +108,8 @@
         if not request.awaits_quota:
             return
         plan = request.plan
-        overage_pays = plan.overage_weight > plan.overage_cost and not plan.ceiling_per_s
-        if verdict is not EntryKind.GRANT and overage_pays:
+        permits_overage = plan.overage_weight > plan.overage_cost and not plan.ceiling_per_s
+        if verdict is not EntryKind.GRANT and permits_overage:
             self.lease_client.leases.remove(request)
             request.within_quota = False
             request.priority = request.priority * plan.overage_weight
@@ -153,7 +153,7 @@
         self.close(request)
 
     def close(self, request: RequestRecord) -> None:
-        """End a request without an answer: remove it from all tables and cancel its attempts in flight."""
+        """Remove a request that needs no further answer, and cancel its attempts in flight."""
         self.open_requests.pop(request.id, None)
         request.account.in_flight -= not request.awaits_quota
         if request.phase is RequestPhase.QUEUED:
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -88,8 +88,8 @@
     def request_wake_up(self, now_ms: float, open_requests: Container[int]) -> float | None:
         """Return the time until a wake-up that the caller has to request, or None where none is needed.
 
-        None is needed where a requested wake-up is at least as early as the first timer. Timers of ended
-        requests are skipped, and later timers get their wake-up in a later turn: a wake-up costs a turn and
+        No wake-up is needed where the requested one is at least as early as the first timer. Timers of ended
+        requests are dropped, and later timers get their wake-up in a later turn. A wake-up costs a turn and
         cannot be withdrawn, and most timers belong to requests that end before the timer expires.
         """
         self._drop_stale_head(open_requests)
