--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -47,7 +47,7 @@
     incarnation: int  # identifies this process of the gateway to other gateways
     started_at_ms: float = 0.0  # start of the gateway; a successor takes over its predecessor's value
     has_sibling: bool = False  # another process of this gateway is running
-    is_retired: bool = False  # the sibling process grants leases and admits requests instead of this one
+    is_retired: bool = False  # the sibling grants leases and admits requests instead of this process
 
 
 class PolicyContext:
--- a/gateway/policy/dispatch/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -8,14 +8,14 @@
 # The limits per endpoint are numbers of attempts per ready endpoint at full capacity, over all gateways.
 INITIAL_ATTEMPTS_PER_ENDPOINT = 12.0  # limit per endpoint before the first responses
 MIN_ATTEMPTS_PER_ENDPOINT = 4.0  # lower bound of the limit per endpoint
-MEAN_EXECUTION_FRACTION = 0.25  # part of the latency objective that an attempt may take on average
+MEAN_EXECUTION_FRACTION = 0.25  # fraction of the latency objective that attempts may take on average
 MAX_PEAK_MULTIPLE = 2.0  # upper bound of the limit, as a multiple of the recent peak of attempts in flight
 OVERLOAD_THRESHOLD = 0.15  # fraction of attempts refused as overloaded above which the limit is reduced
 OVERLOAD_DECREASE_FACTOR = 0.75  # factor by which the limit is reduced in each control period with overload
 MIN_OVERLOAD_FACTOR = 0.3  # fraction of the limit that remains even if the overload lasts
 OVERLOAD_RECOVERY_FACTOR = 1.05  # factor by which a reduced limit grows in each period without overload
 COUNT_TIME_CONSTANT_MS = 1000.0  # time constant of the target, the peak and the mean in flight
-# With this many ended attempts, a gateway raises its target half of the way to the mean of its peers.
+# With this many recently ended attempts, a gateway raises its target half of the way to its peers' mean.
 PRIOR_RESPONSES = 5
 MIN_SLACK_ATTEMPTS = 1.5  # attempts by which the limit may be exceeded while the mean in flight is below it
 SLACK_DEVIATIONS = 2.0  # slack of one gateway of a large fleet, in standard deviations of its count in flight
@@ -60,7 +60,7 @@
         self.peer_target += (target - self.peer_target) * PEER_TARGET_GAIN
 
     def advance_period(self, capacity: float) -> None:
-        """End a control period and update the limit; `capacity` has the meaning that it has there."""
+        """End a control period and update the limit; `capacity` is the same as for `update_limit`."""
         remaining = decay(CONTROL_PERIOD_MS, COUNT_TIME_CONSTANT_MS)
         period_target = self._period_objectives_ms * MEAN_EXECUTION_FRACTION / CONTROL_PERIOD_MS
         self.target = self.target * remaining + period_target * (1 - remaining)
--- a/gateway/policy/dispatch/dispatcher.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -65,7 +65,7 @@
         ]
 
     def _queued_ages_ms(self, class_name: str) -> Iterator[float]:
-        """Return the times since the arrival of a class's queued requests."""
+        """Yield the time since its arrival for each queued request of a class."""
         for request in self.queue:
             if request.request_class.name == class_name:
                 yield self._turn.now_ms - request.arrived_at_ms
--- a/gateway/policy/dispatch/fuzzy_share.py
+++ b/gateway/policy/dispatch/fuzzy_share.py
@@ -1,6 +1,7 @@
-"""The fuzzy controller of a class's share of the concurrency limit, by the queueing delay of the class.
+"""The fuzzy controller of a class's share of the concurrency limit.
 
-It is a Mamdani controller of PI type for absolute delays, by Tables 6 and 7 of the paper of Loudini et al.
+By the share, the controller steers the queueing delay of the class to its objective. It is a Mamdani
+controller of PI type for absolute delays, by Tables 6 and 7 of the paper of Loudini et al.
 """
 
 import functools
--- a/gateway/policy/dispatch/latency.py
+++ b/gateway/policy/dispatch/latency.py
@@ -4,9 +4,10 @@
 
 MAX_RESPONSE_FRACTION = 0.45  # maximum fraction of a class's latency objective to reserve for the response
 MAX_INITIAL_LATENCY_MS = 200.0  # upper bound of a class's expected latency before its first response
-INITIAL_LATENCY_DIVISOR = 4  # the latency objective divided by this is another such upper bound
+INITIAL_LATENCY_DIVISOR = 4  # a class's latency objective divided by this also bounds its initial latency
 LATENCY_GAIN = 0.05  # weight of a new sample in the moving average of a latency
-RESERVE_LATENCY_MULTIPLE = 2.5  # expected latencies to reserve; half of the responses take more than one
+# Half of the responses take longer than expected, so a multiple of the expected latency is reserved.
+RESERVE_LATENCY_MULTIPLE = 2.5
 
 
 def max_wait_ms(request_class: RequestClass) -> float:
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -33,7 +33,7 @@
     def apply_update(self, update: EndpointUpdate) -> list[EndpointRecord]:
         """Apply an update of the endpoint list, and return the endpoints that are no longer ready.
 
-        The update must not be one that failed.
+        The update must not have failed; for failed updates there is `on_update_failed`.
         """
         ready_before = self.warm + self.starting
         self.table.apply_update(update)
--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -74,9 +74,9 @@
     ) -> None:
         """Update the estimates of an endpoint by the outcome of one attempt.
 
-        `latency_ratio` is the latency as a multiple of the expected one, or inf for a failure. A rejection by
-        an overloaded endpoint is a failure as well. Otherwise the endpoint would appear to be fast and idle,
-        and would attract all requests.
+        `latency_ratio` is the latency as a multiple of the expected latency, or inf for a failure. A
+        rejection by an overloaded endpoint is a failure as well. Otherwise the endpoint would appear to be
+        fast and idle, and would attract all requests.
         """
         now_ms = self._turn.now_ms
         endpoint.latency_factor = self._updated_latency_factor(endpoint, latency_ratio, weight)
@@ -91,9 +91,9 @@
         """Return the observations of this gateway that are recent enough to be sent to other gateways."""
         now_ms = self._turn.now_ms
         return [
-            own.observation
-            for own in self._own_observations
-            if now_ms - own.at_ms <= MAX_SENT_OBSERVATION_AGE_MS
+            recorded.observation
+            for recorded in self._own_observations
+            if now_ms - recorded.at_ms <= MAX_SENT_OBSERVATION_AGE_MS
         ]
 
     def _updated_latency_factor(self, endpoint: EndpointRecord, latency_ratio: float, weight: float) -> float:
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -86,7 +86,8 @@
     def choose_endpoint(self, request: RequestRecord, eligible: EligibleEndpoints) -> EndpointRecord | None:
         """Return an endpoint for one more attempt, or None where no endpoint is eligible.
 
-        This is the endpoint in slow start that the lottery draws, or else a warm one with the least cost.
+        This is the endpoint in slow start that the lottery draws, or else the warm endpoint with the least
+        cost among the candidates.
         """
         warm = self._warm_candidates(request, eligible)
         directory = self.directory
@@ -126,7 +127,7 @@
         """Return the endpoints to compare: those that the request has not tried, or a random sample of them.
 
         A gateway that seldom sends attempts takes a small sample. Its load reports are old, and if all
-        gateways with old reports compared all endpoints, they would overload the one that appears to be best.
+        gateways with old reports compared all endpoints, they would overload the apparently best endpoint.
         """
         count = math.ceil(MIN_CANDIDATES + self._weighted_sends_per_endpoint(len(warm)))
         untried = [endpoint for endpoint in warm if endpoint not in request.tried_endpoints] or warm
--- a/gateway/policy/requests/attempt_table.py
+++ b/gateway/policy/requests/attempt_table.py
@@ -45,7 +45,7 @@
         """Add a request's next attempt, update the records of the request and the endpoint, return its key.
 
         The attempt counts as executing at its endpoint. Where no earlier attempt may have been executed,
-        the endpoint becomes the first one that may know the idempotency key.
+        the endpoint is recorded as the first endpoint that may know the idempotency key.
         """
         key = AttemptKey(request.id, request.attempts_sent)
         self._records[key] = AttemptRecord(endpoint, request.request_class)
--- a/gateway/policy/requests/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -145,14 +145,14 @@
             request.in_flight_endpoints.pop(event.attempt, None)
             request.possible_executions -= event.result.proves_not_executed
 
-    def cancel_in_flight(self, request: RequestRecord, kept_attempt: int | None = None) -> None:
-        """Cancel a request's attempts in flight, except for the attempt with the number `kept_attempt`.
+    def cancel_in_flight(self, request: RequestRecord, excluded_attempt: int | None = None) -> None:
+        """Cancel a request's attempts in flight, except for the attempt with the number `excluded_attempt`.
 
         This has no effect where the settings permit no cancellation.
         """
         if self._settings.may_cancel:
             for attempt_number in request.in_flight_endpoints:
-                if attempt_number != kept_attempt:
+                if attempt_number != excluded_attempt:
                     self._add_action(CancelAttempt(request.id, attempt_number))
 
     def _eligible_endpoints(self, request: RequestRecord) -> EligibleEndpoints:
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -80,7 +80,7 @@
         request.phase = RequestPhase.STREAMING
         self.attempts.limiter.on_response(request.request_class.latency_objective_ms)
         self.attempts.set_executing(AttemptKey(event.id, event.attempt), False)
-        self.attempts.cancel_in_flight(request, kept_attempt=event.attempt)
+        self.attempts.cancel_in_flight(request, excluded_attempt=event.attempt)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
         """Handle the end of an attempt.
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -81,14 +81,14 @@
         return Timer(kind, subject)
 
     def clear_due_wake_up(self, now_ms: float) -> None:
-        """Forget the requested wake-up if its time has come, so that the next one can be requested."""
+        """Forget the requested wake-up if its time has come, so that another can be requested."""
         if now_ms >= self._wake_up_at_ms - CLOCK_RESOLUTION_MS:
             self._wake_up_at_ms = math.inf
 
     def request_wake_up(self, now_ms: float, open_requests: Container[int]) -> float | None:
         """Return the time until a wake-up that the caller has to request, or None where none is needed.
 
-        No wake-up is needed where the requested one is at least as early as the first timer. Timers of ended
+        No wake-up is needed where a requested one is at least as early as the first timer. Timers of ended
         requests are dropped, and later timers get their wake-up in a later turn. A wake-up costs a turn and
         cannot be withdrawn, and most timers belong to requests that end before the timer expires.
         """
--- a/tests/policy/endpoints/test_slow_start.py
+++ b/tests/policy/endpoints/test_slow_start.py
@@ -36,13 +36,14 @@
         burst = [RequestArrived(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
         count += sum(send.endpoint == "cold" for send in sends_in(controller.handle(52_000, burst)))
     sends_per_warm_endpoint = 400 * 3 / 7
+    # 2 s after its start, the cold endpoint has less than 0.45 of its full capacity.
     assert 0 < count < 0.45 * 2 * sends_per_warm_endpoint
 
 
 def endpoint_updates(now):
     """Return the endpoint updates that gateways receive at the time `now`.
 
-    The first update lists the warm endpoints, and the second one the cold endpoint at its start.
+    The first update lists the warm endpoints, and the second update lists the cold endpoint at its start.
     """
     if now == FIRST_UPDATE_MS:
         warm = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(WARM_ENDPOINTS)]
--- a/tests/policy/requests/test_attempts.py
+++ b/tests/policy/requests/test_attempts.py
@@ -79,7 +79,7 @@
 
 
 def test_attempt_proved_not_executed_does_not_disprove_an_earlier_possible_execution():
-    """The first attempt ends with an error and may have been executed; the second one is refused."""
+    """The first attempt ends with an error and may have been executed; the second attempt is refused."""
     controller = Controller(settings(may_gossip=False), 1)
     single = EndpointUpdate((Endpoint("s0", "z0", 0, EndpointState.READY),))
     (send,) = sends_in(controller.handle(1000, [single, arrival(1, "book", deadline_at_ms=1900)]))
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -133,5 +133,5 @@
 
 
 def test_actions_per_request_do_not_grow_with_the_number_of_gateways():
-    """A gateway in a fleet of fewer than 40 leads most of its customers' quotas, and sends less gossip."""
+    """A gateway in a fleet of fewer than 40 leads most of its customers' quotas, and is no measure."""
     assert count_actions(400) < 1.5 * count_actions(40)
--- a/tests/policy/test_rule_checker.py
+++ b/tests/policy/test_rule_checker.py
@@ -1,4 +1,4 @@
-"""Tests of the rule checker: it raises for each broken rule, and allows values at the limit of the rule."""
+"""Tests of the independent rule checker: it raises for broken rules, and allows values at their limits."""
 
 import math
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""Tests of the service rules: a rule checker checks every action of simulated fleets with random events."""
+"""Tests of the service rules: an independent checker checks every action of fleets with random events."""
 
 import pytest
 from support.simulated_fleet import SimulatedFleet
