--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -52,9 +52,8 @@
     role = controller.context.role
     role.has_sibling = True
     role.started_at_ms = state.started_at_ms + shift_ms
-    role.incarnation = (
-        state.incarnation + 1
-    ) % INCARNATION_COUNT  # differs from the predecessor's for any seed
+    # This incarnation differs from the predecessor's for any seed.
+    role.incarnation = (state.incarnation + 1) % INCARNATION_COUNT
     lease_client = controller.flow.lease_client
     lease_client.leases.last_id = (state.last_lease_id + LEASE_ID_DISTANCE) % MAX_LEASE_ID
     lease_client.reply_ms = state.lease_reply_ms
