--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -1,4 +1,4 @@
-"""The controller of one gateway: it passes events to the components and returns their actions."""
+"""The controller of one gateway, which passes events to its components and returns their actions."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from gateway.policy.quota.leader_bucket import LeaseKey
 from gateway.policy.requests.request_flow import RequestFlow
 from gateway.policy.requests.request_record import RequestRecord
-from gateway.policy.timers import REQUEST_TIMERS, Timer, TimerKind
+from gateway.policy.timers import REQUEST_TIMER_KINDS, Timer, TimerKind
 
 CLEANUP_INTERVAL_MS = 1000.0  # interval at which unused accounts, buckets and timers are dropped
-WAKE_UP_TIMER = "agenda"  # name of the only timer that is requested, as recorded days contain it
+WAKE_UP_TIMER_NAME = "agenda"  # name in all SetTimer actions; fixed, as recorded simulated days contain it
 
 _RequestEvent = (
     events.ResponseStarted | events.BodyReleased | events.RequestCompleted | events.ClientDisconnected
@@ -23,33 +23,37 @@
 
 
 class Controller:
-    """The decisions of one gateway. The same events at the same times result in the same actions."""
+    """Decides which actions one gateway takes in response to events.
+
+    The decisions are deterministic: the same settings, seed, events and times result in the same actions.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without requests or endpoints; all random numbers follow from the seed."""
+        """Start without requests or endpoints; `seed` determines all random numbers."""
         self.settings = settings
-        self.errors: list[Exception] = []  # errors raised by the events of the last turn
+        self.errors: list[Exception] = []  # exceptions raised by the handling of the last turn's events
         self.context = PolicyContext(settings, seed)
-        self.flow = RequestFlow(self.context, self._send_entry)
+        self.flow = RequestFlow(self.context, self._send_quota_entry)
         self.pacer = GossipPacer(self.context)
         self.selector = self.flow.attempts.selector
         self.directory = self.flow.attempts.selector.directory
-        self._withdrawn: list[EndpointRecord] = []  # endpoints that stopped being ready in this turn
+        self._withdrawn_endpoints: list[EndpointRecord] = []  # those that stopped being ready in this turn
         self._cleanup_at_ms = 0.0
 
     def handle(self, now_ms: float, new_events: list[events.Event]) -> list[Action]:
         """Handle the events of one turn and return the actions to carry out.
 
-        An event that raises does not affect the other events; its error is in `errors` until the next turn.
+        An exception in the handling of one event does not affect the other events of the turn. The exception
+        is in `errors` until the next turn, and the caller has to log it.
         """
         self._start_turn(now_ms)
         for event in new_events:
             try:
                 self._on_event(event)
-            except Exception as error:  # the caller logs it
+            except Exception as error:  # the caller logs `errors`
                 self.errors.append(error)
-        if self._withdrawn and self.settings.may_hedge:
-            self._hedge_withdrawn()
+        if self._withdrawn_endpoints and self.settings.may_hedge:
+            self._hedge_at_withdrawn_endpoints()
         while timer := self.context.timers.pop_expired(now_ms):
             self._on_timer(timer)
         self.flow.dispatcher.dispatch()
@@ -58,7 +62,7 @@
         return self.context.turn.actions
 
     def endpoint_counts(self, now_ms: float) -> tuple[int, int]:
-        """Return the number of listed endpoints, and how many of them are avoided."""
+        """Return the number of listed endpoints, and of those among them that get few attempts or none."""
         self.context.turn.now_ms = now_ms
         listed = self.directory.table.listed()
         return len(listed), sum(self.selector.avoids(endpoint) for endpoint in listed)
@@ -68,9 +72,9 @@
         timers = self.context.timers
         is_first = turn.started_at_ms is None
         turn.start(now_ms)
-        timers.on_turn(now_ms)
+        timers.clear_due_wake_up(now_ms)
         self.errors = []
-        self._withdrawn = []
+        self._withdrawn_endpoints = []
         if is_first:
             self.context.role.started_at_ms = now_ms
             timers.schedule(now_ms, TimerKind.CONTROL_PERIOD)
@@ -79,7 +83,11 @@
     # -- events
 
     def _on_event(self, event: events.Event) -> None:
-        """Handle one event. Events about unknown requests and expired timers have no effect."""
+        """Handle one event.
+
+        Events about requests that are not open have no effect. A TimerFired has no handler, since any turn
+        handles the timers that have expired in the timer queue.
+        """
         match event:
             case events.AttemptEnded():
                 self.flow.on_attempt_ended(event)
@@ -115,40 +123,54 @@
         if update.failed:
             self.directory.on_update_failed()
             return
-        self._withdrawn += self.directory.update(update)
+        self._withdrawn_endpoints += self.directory.apply_update(update)
         self.flow.attempts.limiter.update_limit(self.directory.capacity)
 
-    def _hedge_withdrawn(self) -> None:
+    def _hedge_at_withdrawn_endpoints(self) -> None:
         """Hedge the requests in flight at endpoints that stopped being ready in this turn."""
-        self.flow.attempts.hedge_withdrawn(list(self.flow.open_requests.values()), self._withdrawn)
+        self.flow.attempts.hedge_at_withdrawn_endpoints(
+            list(self.flow.open_requests.values()), self._withdrawn_endpoints
+        )
 
     def _on_gossip(self, event: events.GossipReceived) -> None:
-        """Handle a datagram; an unreadable one, or one of an unknown sender, has no effect."""
+        """Handle a datagram.
+
+        A datagram has no effect where it is unreadable, or where its sender is not in the fleet or is this
+        process itself.
+        """
         message = decode(event.data)
-        is_own = event.sender == self.settings.gateway_number and not self.context.role.has_sibling
-        if message is None or event.sender >= self.settings.gateways or is_own:
+        is_from_itself = event.sender == self.settings.gateway_number and not self.context.role.has_sibling
+        if message is None or event.sender >= self.settings.gateways or is_from_itself:
             return
         self.pacer.on_received(event.sender)
         self.flow.attempts.limiter.on_peer_target(message.target_concurrency)
-        if not self.context.turn.follows_stall:  # observations are outdated after a stall
+        if not self.context.turn.follows_stall:  # else the datagram, and what it reports, may be outdated
             self.selector.on_observations(message.observations)
         self.flow.lease_client.mark_responsive(event.sender)
         for entry in message.entries:
-            self._on_entry(event.sender, message.incarnation, entry)
+            self._on_quota_entry(event.sender, message.incarnation, entry)
 
     # -- quota entries
 
-    def _send_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
-        """Send an entry to a gateway; one to this process is handled at once."""
+    def _send_quota_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
+        """Send a quota entry to a gateway; an entry that is addressed to this process is handled at once.
+
+        `incarnation` is that of the process to which the entry is addressed. None stands for the process
+        that admits requests. Where the settings permit no gossip, entries for other processes are dropped.
+        """
         role = self.context.role
-        is_own = gateway == self.settings.gateway_number and not role.is_retired
-        if is_own and incarnation in (None, role.incarnation):
-            self._on_entry(gateway, role.incarnation, entry)
+        may_be_for_this_process = gateway == self.settings.gateway_number and not role.is_retired
+        if may_be_for_this_process and incarnation in (None, role.incarnation):
+            self._on_quota_entry(gateway, role.incarnation, entry)
         elif self.settings.may_gossip:
             self.pacer.outbox.add(gateway, entry)
 
-    def _on_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
-        """Handle an entry; one with a class or a plan that the settings lack has no effect."""
+    def _on_quota_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
+        """Handle a quota entry from the process `incarnation` of the gateway `sender`.
+
+        An entry for the quota leader has no effect where the settings lack its class or its plan, or where
+        this process is retired.
+        """
         if entry.kind in REPLY_KINDS:
             self.flow.lease_client.on_reply(sender, entry)
             return
@@ -160,33 +182,33 @@
     # -- timers
 
     def _on_timer(self, timer: Timer) -> None:
-        if timer.kind in REQUEST_TIMERS:
+        if timer.kind in REQUEST_TIMER_KINDS:
             request = self.flow.open_requests.get(timer.subject)
             if request is not None and not request.is_streaming:
                 self.flow.on_timer(timer.kind, request)
             return
         match timer.kind:
             case TimerKind.CONTROL_PERIOD:
-                self._step()
+                self._run_control_period()
             case TimerKind.LEADER_SERVE:
                 self.flow.leader.on_timer(timer.subject)
             case TimerKind.SUBSCRIBE if self.settings.must_subscribe:
                 self.context.turn.actions.append(SubscribeEndpoints())
 
-    def _step(self) -> None:
-        """Advance all controllers and averages by one period."""
+    def _run_control_period(self) -> None:
+        """Update all feedback controllers and averages for one control period."""
         now_ms = self.context.turn.now_ms
         self.context.timers.schedule(now_ms + CONTROL_PERIOD_MS, TimerKind.CONTROL_PERIOD)
-        self.flow.dispatcher.step()
+        self.flow.dispatcher.update_shares()
         self.pacer.decay_received_count()
-        self.selector.step()
+        self.selector.advance_period()
         if now_ms >= self._cleanup_at_ms:
             self._cleanup_at_ms = now_ms + CLEANUP_INTERVAL_MS
-            self._clean_up()
-        self.flow.attempts.limiter.step(self.directory.capacity)
+            self._drop_unused_state()
+        self.flow.attempts.limiter.advance_period(self.directory.capacity)
 
-    def _clean_up(self) -> None:
-        """Drop unused accounts, buckets and timers."""
+    def _drop_unused_state(self) -> None:
+        """Drop unused accounts, unused buckets and the timers of ended requests."""
         self.flow.lease_client.accounts.drop_idle_accounts(self.flow.open_requests.values())
         self.flow.leader.drop_idle_buckets()
         self.context.timers.compact(self.flow.open_requests)
@@ -199,13 +221,13 @@
             return
         incarnation = self.context.role.incarnation
         target = self.flow.attempts.limiter.target
-        observations = self.selector.outliers.fresh_observations()
+        observations = self.selector.outliers.recent_own_observations()
         for message in messages:
             data = encode(incarnation, target, message.entries, observations)
             self.context.turn.actions.append(SendGossip(message.gateway, data))
 
     def _request_wake_up(self) -> None:
         turn = self.context.turn
-        after_ms = self.context.timers.wake_up_in_ms(turn.now_ms, self.flow.open_requests)
+        after_ms = self.context.timers.request_wake_up(turn.now_ms, self.flow.open_requests)
         if after_ms is not None:
-            turn.actions.append(SetTimer(after_ms, WAKE_UP_TIMER))
+            turn.actions.append(SetTimer(after_ms, WAKE_UP_TIMER_NAME))
--- a/gateway/policy/endpoints/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -14,28 +14,30 @@
     """The records of the listed endpoints, and of removed ones that still have attempts in flight."""
 
     def __init__(self) -> None:
-        """Start with no endpoint."""
         self.by_id: dict[str, EndpointRecord] = {}
-        self.by_tag: dict[int, EndpointRecord] = {}  # endpoints whose tag is unique
+        self.by_tag: dict[int, EndpointRecord] = {}  # only endpoints whose tag no other endpoint has
 
-    def apply(self, update: EndpointUpdate) -> None:
-        """Apply an update of the endpoint list; an endpoint that has restarted gets a new record."""
+    def apply_update(self, update: EndpointUpdate) -> None:
+        """Apply an update of the endpoint list.
+
+        An endpoint that has restarted gets a new record, without the estimates of its previous process.
+        """
         listed_ids = {entry.id for entry in update.endpoints}
         for endpoint_id, endpoint in self.by_id.items():
             if update.is_snapshot and endpoint_id not in listed_ids:
                 endpoint.entry = replace(endpoint.entry, state=EndpointState.REMOVED)
         for entry in update.endpoints:
-            current = self.by_id.get(entry.id)
-            if current is None or current.entry.started_ms != entry.started_ms:
+            existing = self.by_id.get(entry.id)
+            if existing is None or existing.entry.started_ms != entry.started_ms:
                 self.by_id[entry.id] = EndpointRecord(entry)
             else:
-                current.entry = entry
-        self._drop_removed()
+                existing.entry = entry
+        self._drop_removed_and_index_tags()
 
-    def drop_removed(self) -> None:
-        """Drop removed endpoints without attempts in flight."""
+    def drop_removed_endpoints(self) -> None:
+        """Drop the records of removed endpoints that have no attempts in flight."""
         if any(endpoint.entry.state is EndpointState.REMOVED for endpoint in self.by_id.values()):
-            self._drop_removed()
+            self._drop_removed_and_index_tags()
 
     def ready(self) -> list[EndpointRecord]:
         """Return the endpoints that are listed as ready."""
@@ -47,20 +49,20 @@
             endpoint for endpoint in self.by_id.values() if endpoint.entry.state is not EndpointState.REMOVED
         ]
 
-    def _drop_removed(self) -> None:
-        """Drop removed endpoints and update the index by tag.
+    def _drop_removed_and_index_tags(self) -> None:
+        """Drop removed endpoints without attempts in flight, and rebuild the index by tag.
 
-        Tags have 16 bits. An observation that names a tag of two endpoints may concern either, so such a tag
-        is not in the index.
+        Tags have 16 bits, and two endpoints may have the same tag. An observation with that tag may concern
+        either endpoint, so the index contains neither.
         """
         self.by_id = {
             endpoint_id: endpoint
             for endpoint_id, endpoint in self.by_id.items()
             if endpoint.entry.state is not EndpointState.REMOVED or endpoint.in_flight
         }
-        holders = Counter(map(endpoint_tag, self.by_id))
+        tag_counts = Counter(map(endpoint_tag, self.by_id))
         self.by_tag = {
             endpoint_tag(endpoint_id): endpoint
             for endpoint_id, endpoint in self.by_id.items()
-            if holders[endpoint_tag(endpoint_id)] == 1
+            if tag_counts[endpoint_tag(endpoint_id)] == 1
         }
--- a/gateway/policy/endpoints/hash_ring.py
+++ b/gateway/policy/endpoints/hash_ring.py
@@ -1,4 +1,4 @@
-"""A hash ring of endpoints, of which each gateway prefers an arc."""
+"""A hash ring of endpoints, on which each gateway prefers the endpoints of one arc."""
 
 from __future__ import annotations
 
@@ -9,48 +9,58 @@
 from gateway.gossip.codec import endpoint_tag
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
-GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of two consecutive gateways
+GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of gateways with consecutive numbers
 
 
-class _Place(NamedTuple):
-    """The place of an endpoint on the ring: its relative position within its zone, and that zone."""
+class _RingEntry(NamedTuple):
+    """An endpoint with the fields by which it is sorted on the ring."""
 
-    position: float
+    position: float  # relative position among the endpoints of the same zone, from 0 to 1
     zone: str
     endpoint: EndpointRecord
 
 
-def mixed_ring(endpoints: Sequence[EndpointRecord]) -> list[EndpointRecord]:
-    """Return the endpoints in the order of the ring: by the hash of their ids, the zones evenly mixed."""
+def zone_interleaved_ring(endpoints: Sequence[EndpointRecord]) -> list[EndpointRecord]:
+    """Return the endpoints in the order of the ring.
+
+    The endpoints of each zone are in the order of the hashes of their ids, and the zones are interleaved
+    evenly.
+    """
     zones: dict[str, list[EndpointRecord]] = {}
-    for endpoint in sorted(endpoints, key=_hash_order):
+    for endpoint in sorted(endpoints, key=_hash_sort_key):
         zones.setdefault(endpoint.entry.zone, []).append(endpoint)
-    places = [
-        _Place((index + 0.5) / len(members), zone, endpoint)
+    entries = [
+        _RingEntry((index + 0.5) / len(members), zone, endpoint)
         for zone, members in zones.items()
         for index, endpoint in enumerate(members)
     ]
-    places.sort(key=lambda place: (place.position, place.zone))
-    return [place.endpoint for place in places]
+    entries.sort(key=lambda entry: (entry.position, entry.zone))
+    return [entry.endpoint for entry in entries]
 
 
-def arc(ring: Sequence[EndpointRecord], length: int, number: int, gateways: int) -> list[EndpointRecord]:
-    """Return the arc of `length` endpoints that gateway `number` of `gateways` prefers.
+def preferred_arc(
+    ring: Sequence[EndpointRecord], length: int, gateway: int, gateways: int
+) -> list[EndpointRecord]:
+    """Return the arc of `length` endpoints of the ring that the gateway with number `gateway` prefers.
 
-    The arcs start at even distances, so that all endpoints are in equally many arcs, give or take one. When
-    an endpoint is added or removed, each arc changes by few endpoints. Gateways with consecutive numbers,
-    which often serve the same customers, have distant arcs.
+    `gateways` is the number of gateways in the fleet. The arcs start at even distances, so that all endpoints
+    are in the same number of arcs, give or take one. When an endpoint is added or removed, each arc changes
+    by few endpoints. Gateways with consecutive numbers often serve the same customers, so their arcs are
+    distant from each other.
     """
     size = len(ring)
-    start = number * _arc_step(gateways) % gateways * size // gateways
+    start = gateway * _arc_step(gateways) % gateways * size // gateways
     return [ring[(start + offset) % size] for offset in range(length)]
 
 
 def _arc_step(gateways: int) -> int:
-    """Return the distance between consecutive gateways' arcs, coprime to the number of gateways."""
+    """Return how many arcs later the arc of the next gateway starts.
+
+    The result is coprime to the number of gateways, so that no two gateways have the same arc.
+    """
     first_candidate = round(gateways * GOLDEN_SECTION)
     return next(step for step in range(first_candidate, gateways) if math.gcd(step, gateways) == 1)
 
 
-def _hash_order(endpoint: EndpointRecord) -> tuple[int, str]:
+def _hash_sort_key(endpoint: EndpointRecord) -> tuple[int, str]:
     return endpoint_tag(endpoint.entry.id), endpoint.entry.id
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -1,4 +1,4 @@
-"""The course of a request from its arrival to its only final answer."""
+"""The handling of requests, from the arrival of each to its single final answer."""
 
 import math
 from dataclasses import replace
@@ -23,13 +23,13 @@
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 from gateway.policy.timers import TimerKind
 
-MAX_QUEUED_FRACTION = 0.45  # fraction of the time to its deadline that a request may be queued
-DEFAULT_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection
-DEADLINE_MARGIN_TICKS = 2  # ticks between a request's final answer and its deadline
+MAX_QUEUED_FRACTION = 0.45  # fraction of the time from arrival to deadline that a request may be queued
+MIN_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection, unless the settings limit it to less
+DEADLINE_MARGIN_TICKS = 2  # timer ticks before its deadline at which an unserved request is answered
 
 
 class RequestFlow(PolicyComponent):
-    """The open requests, and the components that decide on them."""
+    """The open requests, and the components that decide on their quotas, dispatch and attempts."""
 
     def __init__(self, context: PolicyContext, send: EntrySender) -> None:
         super().__init__(context)
@@ -42,17 +42,21 @@
         self.lease_client = LeaseClient(context, listener=self, send=send)
 
     def on_arrival(self, arrival: RequestArrived) -> None:
-        """Open a new request: it is admitted, waits for its quota, or is rejected at once."""
+        """Open a new request, which is admitted, waits for its quota, or is rejected at once.
+
+        It is rejected where its class or plan is not in the settings, its deadline has passed, or a request
+        with its id is open.
+        """
         request_class = self._classes.get(arrival.class_name)
         plan = self._plans.get(arrival.plan_name)
         is_duplicate = arrival.id in self.open_requests
         is_expired = arrival.deadline_at_ms <= self._turn.now_ms
         if request_class is None or plan is None or is_expired or is_duplicate:
-            self._act(Reject(arrival.id))
+            self._add_action(Reject(arrival.id))
             return
         account = self.lease_client.accounts.refilled_account(arrival, plan)
         account.demand += arrival.units
-        request = RequestRecord.opened(arrival, request_class, plan, account, self._turn.now_ms)
+        request = RequestRecord.from_arrival(arrival, request_class, plan, account, self._turn.now_ms)
         self.open_requests[request.id] = request
         self._schedule_deadline(request)
         queue_timeout_at_ms = self._queue_timeout_at_ms(request)
@@ -61,46 +65,51 @@
             self.dispatcher.enqueue(request)
 
     def on_completed(self, request: RequestRecord, event: RequestCompleted) -> None:
-        """Handle the last byte of a large request, from which its objective and its deadline count."""
+        """Handle the last byte of a large request, at which its latency objective and its deadline start."""
         request.is_complete = True
         request.arrival = replace(request.arrival, deadline_at_ms=event.deadline_at_ms)
         request.objective_at_ms = self._turn.now_ms + request.request_class.latency_objective_ms
         self._schedule_deadline(request)
         if request.attempts_sent:
-            for number in request.in_flight:
-                self.attempts.set_executing(AttemptKey(request.id, number), True)
-            self.attempts.schedule_hedge(request)
+            for attempt_number in request.in_flight_endpoints:
+                self.attempts.set_executing(AttemptKey(request.id, attempt_number), True)
+            self.attempts.schedule_hedge_timer(request)
 
     def on_response_started(self, request: RequestRecord, event: ResponseStarted) -> None:
-        """Handle the start of a streaming response: all other attempts are cancelled."""
+        """Handle the start of a streaming response, and cancel the request's other attempts."""
         request.phase = RequestPhase.STREAMING
-        self.attempts.limiter.on_answered(request.request_class.latency_objective_ms)
+        self.attempts.limiter.on_response(request.request_class.latency_objective_ms)
         self.attempts.set_executing(AttemptKey(event.id, event.attempt), False)
-        self.attempts.cancel(request, keep=event.attempt)
+        self.attempts.cancel_in_flight(request, excluded_attempt=event.attempt)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Handle the end of an attempt: its request is closed, is retried, or gets its final answer."""
+        """Handle the end of an attempt.
+
+        A final attempt closes its request. Otherwise a request without further attempts in flight is retried,
+        or gets its final answer where no retry is possible.
+        """
         if AttemptKey(event.id, event.attempt) not in self.attempts.table:
             return
         request = self.open_requests.get(event.id)
-        self.attempts.end(event, request)
+        self.attempts.on_attempt_ended(event, request)
         if request is None:
             return
         if event.final:
             self.close(request)
-        elif not request.in_flight and not self.attempts.retry(request):
-            self.give_up(request)
+        elif not request.in_flight_endpoints and not self.attempts.start_additional_attempt(request):
+            self.reject_or_fail(request)
 
     def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
         """Handle the quota leader's verdict on a request: GRANT, QUEUED or DENY.
 
-        Where the plan's overage is worth its cost, a request without a grant is admitted beyond its quota.
+        A request without a grant is admitted as overage where its plan has no ceiling, and an overage weight
+        that exceeds the overage cost.
         """
         if not request.awaits_quota:
             return
         plan = request.plan
-        overage_pays = plan.overage_weight > plan.overage_cost and not plan.ceiling_per_s
-        if verdict is not EntryKind.GRANT and overage_pays:
+        permits_overage = plan.overage_weight > plan.overage_cost and not plan.ceiling_per_s
+        if verdict is not EntryKind.GRANT and permits_overage:
             self.lease_client.leases.remove(request)
             request.within_quota = False
             request.priority = request.priority * plan.overage_weight
@@ -108,7 +117,7 @@
         if verdict is EntryKind.GRANT:
             self.dispatcher.enqueue(request)
         elif verdict is EntryKind.DENY:
-            self.give_up(request)
+            self.reject_or_fail(request)
 
     def on_timer(self, kind: TimerKind, request: RequestRecord) -> None:
         """Handle a timer of an open request whose response has not started."""
@@ -119,46 +128,51 @@
             case TimerKind.LEASE_EXPIRED:
                 self.on_lease_reply(request, EntryKind.DENY)
             case _ if request.attempts_sent and not request.is_complete:
-                pass  # the objective and the deadline count from the request's last byte
+                pass  # the latency objective and the deadline start at the last byte of the request
             case TimerKind.HEDGE:
-                self.attempts.hedge(request)
+                self.attempts.on_attempt_overdue(request)
             case TimerKind.QUEUE_TIMEOUT:
                 self._on_queue_timeout(request)
             case TimerKind.DEADLINE:
-                self.give_up(request)
+                self.reject_or_fail(request)
 
-    def give_up(self, request: RequestRecord) -> None:
-        """Give the final answer to a request that is not served: Reject or Fail.
+    def reject_or_fail(self, request: RequestRecord) -> None:
+        """Give the final answer to a request that is not served, and close it.
 
-        A rejection promises that a retry by the client is harmless. For a request that was possibly executed,
-        this is certain only if all endpoints still know its idempotency key at the time of the retry.
+        The answer is Reject where a retry by the client is certain to be harmless, and otherwise Fail. For a
+        request that is not idempotent and may have been executed, a retry is harmless only if all endpoints
+        still know the idempotency key at that time.
         """
         refill_ms = request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf)
-        retry_after_ms = min(max(DEFAULT_RETRY_AFTER_MS, refill_ms), self._settings.max_retry_after_ms)
-        resend_deadline_ms = self.attempts.resend_deadline_ms(request)
-        is_harmless = resend_deadline_ms == math.inf
+        retry_after_ms = min(max(MIN_RETRY_AFTER_MS, refill_ms), self._settings.max_retry_after_ms)
+        resend_deadline_at_ms = self.attempts.resend_deadline_at_ms(request)
+        is_harmless = resend_deadline_at_ms == math.inf
         if request.request_class.key_scope is KeyScope.ALL:
-            is_harmless = is_harmless or self._turn.now_ms + retry_after_ms < resend_deadline_ms
-        self._act(Reject(request.id, retry_after_ms) if is_harmless else Fail(request.id))
+            is_harmless = is_harmless or self._turn.now_ms + retry_after_ms < resend_deadline_at_ms
+        self._add_action(Reject(request.id, retry_after_ms) if is_harmless else Fail(request.id))
         self.close(request)
 
     def close(self, request: RequestRecord) -> None:
-        """End a request: remove it from all queues and cancel its attempts in flight."""
+        """Remove a request that needs no further answer, and cancel its attempts in flight."""
         self.open_requests.pop(request.id, None)
         request.account.in_flight -= not request.awaits_quota
         if request.phase is RequestPhase.QUEUED:
             self.dispatcher.queue.remove(request)
         self.lease_client.release_lease(request)
-        self.attempts.cancel(request)
+        self.attempts.cancel_in_flight(request)
 
     def _on_queue_timeout(self, request: RequestRecord) -> None:
-        """Give up a request that can no longer be answered in time, or admit it optimistically."""
+        """Handle the end of the time for which a request may be queued.
+
+        A request whose quota leader has not replied may be admitted without a grant. Any other request
+        without an attempt is rejected.
+        """
         if request.awaits_quota and self.lease_client.on_reply_overdue(request, is_last=True):
             self.dispatcher.enqueue(request)
-            # If the request cannot be dispatched in this turn, the next queue timeout gives it up.
+            # If the request cannot be dispatched in this turn, it is rejected at the next queue timeout.
             self._schedule(self._turn.now_ms + self._settings.tick_ms, TimerKind.QUEUE_TIMEOUT, request.id)
         elif request.attempts_sent == 0:
-            self.give_up(request)
+            self.reject_or_fail(request)
 
     def _schedule_deadline(self, request: RequestRecord) -> None:
         at_ms = request.arrival.deadline_at_ms - DEADLINE_MARGIN_TICKS * self._settings.tick_ms
@@ -167,15 +181,15 @@
     def _queue_timeout_at_ms(self, request: RequestRecord) -> float:
         """Return the time until which a request may be queued.
 
-        Queueing has to leave time for the response. It also ends early enough for the client to use the
-        remaining time for a retry elsewhere.
+        After that time, too little would remain for the response. In any case queueing ends early enough for
+        the client to retry at another gateway before the deadline.
         """
         now_ms = self._turn.now_ms
         deadline_at_ms = request.arrival.deadline_at_ms
         respond_by_ms = deadline_at_ms
         if request.request_class.late_weight <= 0:
             respond_by_ms = min(deadline_at_ms, request.objective_at_ms)
-        dispatch_by_ms = respond_by_ms - self.attempts.latencies.reserve_ms(request.request_class)
+        dispatch_by_ms = respond_by_ms - self.attempts.latencies.response_reserve_ms(request.request_class)
         earliest_ms = now_ms + MAX_RESPONSE_FRACTION * (respond_by_ms - now_ms)
         latest_ms = now_ms + MAX_QUEUED_FRACTION * (deadline_at_ms - now_ms)
         return min(latest_ms, max(dispatch_by_ms, earliest_ms))
--- a/tests/policy/dispatch/test_concurrency_limit.py
+++ b/tests/policy/dispatch/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the limit of attempts in flight."""
+"""Tests of the limit on attempts in flight."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 def new_limiter(gateways):
-    """Return the concurrency limiter of a gateway in such a fleet, and the turn that holds its time."""
+    """Return the limiter of one gateway in a fleet of `gateways`, and the turn that provides its time."""
     context = PolicyContext(settings(gateways=gateways), 1)
     return ConcurrencyLimiter(context), context.turn
 
@@ -18,30 +18,30 @@
 def test_concurrency_limit_is_divided_over_gateways():
     few, few_turn = new_limiter(1)
     many, many_turn = new_limiter(10)
-    few.step(20)
-    many.step(20)
+    few.advance_period(20)
+    many.advance_period(20)
     assert few.limit > 5 * many.limit
-    few.on_answered(1000)
-    many.on_answered(1000)
+    few.on_response(1000)
+    many.on_response(1000)
     few_turn.now_ms = many_turn.now_ms = 100
-    few.step(20)
-    many.step(20)
+    few.advance_period(20)
+    many.advance_period(20)
     assert few.limit > 5 * many.limit
 
 
-def test_limit_below_one_permits_random_but_not_steady_excess():
+def test_limit_below_two_attempts_may_be_exceeded_briefly_but_not_steadily():
     limiter, turn = new_limiter(400)
-    limiter.step(40)
-    assert limiter.limit < 2 <= limiter.available()
-    limiter.count(3)
+    limiter.advance_period(40)
+    assert limiter.limit < 2 <= limiter.available_attempts()
+    limiter.add_in_flight(3)
     for now_ms in range(100, 3000, 100):
         turn.now_ms = now_ms
-        limiter.step(40)
-    assert limiter.available() < 0
+        limiter.advance_period(40)
+    assert limiter.available_attempts() < 0
 
 
-def poisson(rng, mean):
-    """Return a random count whose standard deviation is the root of its mean."""
+def draw_poisson(rng, mean):
+    """Return a random count with a Poisson distribution, whose standard deviation is the root of the mean."""
     count = 0
     elapsed = rng.expovariate(1)
     while elapsed < mean:
@@ -51,18 +51,18 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40])
-def test_variance_of_a_small_share_does_not_hold_back_more_than_the_fleets(gateways):
-    """A fleet at four fifths of its limit of 240 seldom fills one gateway's share of it by chance."""
+def test_random_variation_seldom_exhausts_the_limit_of_one_gateway(gateways):
+    """While the fleet uses four fifths of its limit of 240, a gateway rarely fills its share by chance."""
     limiter, _ = new_limiter(gateways)
     rng = random.Random(5)
-    limiter.step(60)
+    limiter.advance_period(60)
     limiter.limit = 240 / gateways
     limiter.in_flight.mean = 0.8 * limiter.limit
     full = 0
     for _ in range(4000):
-        limiter.in_flight.value = poisson(rng, limiter.in_flight.mean)
-        full += limiter.available() < 1
+        limiter.in_flight.value = draw_poisson(rng, limiter.in_flight.mean)
+        full += limiter.available_attempts() < 1
     assert full <= 0.04 * 4000
     limiter.in_flight.value = 0
-    assert limiter.available() <= limiter.limit + 2 * limiter.limit**0.5
-    assert gateways > 1 or limiter.available() < limiter.limit + 2
+    assert limiter.available_attempts() <= limiter.limit + 2 * limiter.limit**0.5
+    assert gateways > 1 or limiter.available_attempts() < limiter.limit + 2
