--- a/gateway/network/clients/upload.py
+++ b/gateway/network/clients/upload.py
@@ -80,7 +80,7 @@
         if self._sink is not None:
             self._sink.write_last(LAST_CHUNK if self._chunked else b"")
 
-    def attach(self, sink: BodySink, head: bytes) -> None:
+    def start_forwarding(self, sink: BodySink, head: bytes) -> None:
         """Write the head and the buffered parts to an endpoint's new connection, then forward there."""
         data = head + b"".join(map(self._framed, self._parts))
         self._parts.clear()
--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -149,7 +149,7 @@
             return
         self._last_progress_ms = self._clock.now()
         self._owner.on_streaming_started(self)
-        attempt.upload.attach(self.writer, attempt.message)
+        attempt.upload.start_forwarding(self.writer, attempt.message)
 
     def set_response_paused(self, paused: bool) -> None:
         """Stop or resume reading the response, because its client is slow."""
--- a/tests/network/clients/test_upload.py
+++ b/tests/network/clients/test_upload.py
@@ -36,7 +36,7 @@
     upload.feed(b"body")
     upload.end()
     assert upload.may_send()
-    upload.attach(endpoint, b"head\r\n\r\n")
+    upload.start_forwarding(endpoint, b"head\r\n\r\n")
     assert endpoint.written == written and client.is_body_released and not upload.may_send()
 
 
@@ -49,7 +49,7 @@
     for piece in pieces:
         upload.feed(piece)
     upload.end()
-    upload.attach(endpoint, b"head\r\n\r\n")
+    upload.start_forwarding(endpoint, b"head\r\n\r\n")
     assert endpoint.written == b"head\r\n\r\n" + body
 
 
