--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -1,4 +1,4 @@
-"""What clients' connections report: they are limited, and their requests are opened."""
+"""Handles client connections: limits them, opens their requests, and reports the events to the controller."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 from gateway.network.process_role import ProcessRole, ServicePhase
 from gateway.network.request_table import DEADLINE_MARGIN_MS, RequestTable
 
-# Eviction delay, ms: new connections that carry a request are read before connections are evicted.
+# Milliseconds between a new connection above the eviction threshold and the eviction. In this time the
+# requests on other new connections are read, so that these connections are not evicted as unused.
 EVICTION_DELAY_MS = 1.0
 
 
 class ClientFrontend:
-    """The handler of all client connections of a gateway (`RequestHandler`)."""
+    """Handles all client connections of a process; implements `RequestHandler`."""
 
     def __init__(
         self,
@@ -36,7 +37,7 @@
         attempt_runner: AttemptRunner,
         events: EventSink,
     ) -> None:
-        """Enter requests in this table, and report them to `events`."""
+        """Start the periodic sweep; requests are added to `requests`, and events are reported to `events`."""
         self.clock = clock
         self.timers = timers
         self.connections = connections
@@ -51,44 +52,48 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this process serves."""
+        """Whether this process is ready to serve clients."""
         return self._role.is_ready
 
     @property
     def draining(self) -> bool:
-        """Whether each connection closes after its response."""
+        """Whether each connection must close after its current response."""
         return self._role.phase is ServicePhase.DRAINING
 
     # -- connections
 
     def on_client_connected(self, client: HandledConnection) -> None:
-        """Add a new connection, or one that the predecessor has handed over; close it above the limit."""
+        """Register a connection that is new or that the predecessor has handed over.
+
+        A new connection is aborted if there are too many. Above the eviction threshold it is accepted, and
+        excess connections are evicted after EVICTION_DELAY_MS.
+        """
         if client.is_transferred:
             self.connections.add_transferred(client, self.clock.now())
         elif not self.connections.add(client, self.clock.now()):
             client.abort()
-        elif len(self.connections) > self.connections.max_kept and not self._is_eviction_scheduled:
+        elif len(self.connections) > self.connections.eviction_threshold and not self._is_eviction_scheduled:
             self._is_eviction_scheduled = True
-            self.timers.call_at(self.clock.now() + EVICTION_DELAY_MS, self._evict)
+            self.timers.call_at(self.clock.now() + EVICTION_DELAY_MS, self._evict_excess)
 
     def on_message_started(self, client: HandledConnection) -> None:
-        """Note that a request begins to be received."""
+        """Start the input timeout of a request whose first byte has been received."""
         self.connections.on_message_started(client, self.clock.now())
 
-    def on_client_idle(self, client: HandledConnection) -> None:
-        """Note that a connection is idle after a response; hand it over if a successor serves."""
+    def on_connection_idle(self, client: HandledConnection) -> None:
+        """Start the idle time of a connection, and schedule its handover if a successor serves."""
         self.connections.on_idle(client, self.clock.now())
         if self._role.is_retired:
             self._loop.call_soon(self.hand_over_idle_connections)
 
-    def on_client_closed(self, client: HandledConnection, request: OpenRequest | None) -> None:
-        """Remove a connection that has ended, and close the request that was open on it."""
+    def on_connection_closed(self, client: HandledConnection, request: OpenRequest | None) -> None:
+        """Deregister a connection that has closed, and close `request` if one was open on it."""
         self.connections.remove(client)
         if request is not None:
-            self.on_client_gone(request)
+            self.on_client_disconnected(request)
 
     def hand_over_idle_connections(self) -> None:
-        """Hand over each idle connection to the successor, if there is one."""
+        """Hand over each idle client connection to the successor; without a successor, do nothing."""
         successor = self._role.successor
         if successor is None:
             return
@@ -97,11 +102,11 @@
                 successor.hand_over(client)
 
     def close_idle_connections(self) -> None:
-        """Close each idle connection."""
+        """Close each client connection without a request that is open, being received or unread."""
         for client in list(self.connections.open_connections):
             client.close_if_idle()
 
-    def _evict(self) -> None:
+    def _evict_excess(self) -> None:
         self._is_eviction_scheduled = False
         self.connections.evict_excess()
 
@@ -115,15 +120,18 @@
     # -- requests
 
     def open_request(self, client: HandledConnection, received: ReceivedRequest) -> OpenRequest:
-        """Open a request that is complete, or whose large body is still being received.
+        """Validate and open a request, and report its arrival to the controller.
+
+        The request is complete, or its large body is still being received.
 
-        Raises BadRequestError.
+        Raises:
+            BadRequestError: The request is rejected; the error has the status of the response.
         """
         is_complete = received.upload is None
-        parsed = self._request_validator.validate(
+        validated = self._request_validator.validate(
             received.method, received.target, received.headers, received.has_body
         )
-        request = self._requests.add(client, parsed, received)
+        request = self._requests.add(client, validated, received)
         deadline_at_ms = self._requests.deadline_at_ms(request)
         if is_complete:
             self._requests.start_guard(request, deadline_at_ms)
@@ -131,21 +139,21 @@
         self._events.enqueue(
             RequestArrived(
                 request.id,
-                parsed.customer,
+                validated.customer,
                 request.class_name,
-                parsed.plan,
+                validated.plan,
                 deadline_at_ms - DEADLINE_MARGIN_MS,
-                parsed.units,
-                parsed.first,
-                parsed.spread,
-                parsed.is_client_retry,
+                validated.units,
+                validated.first_gateway,
+                validated.spread,
+                validated.is_client_retry,
                 is_complete,
             )
         )
         return request
 
-    def on_request_completed(self, request: OpenRequest) -> None:
-        """Start the timeouts of a request whose large body has been received completely."""
+    def on_upload_completed(self, request: OpenRequest) -> None:
+        """Start the timeouts of a request whose large body is complete, and report the end of the body."""
         deadline_at_ms = self._requests.deadline_at_ms(request)
         self._requests.start_guard(request, deadline_at_ms)
         timeout_ms = deadline_at_ms - DEADLINE_MARGIN_MS - self.clock.now()
@@ -153,9 +161,9 @@
         self._events.enqueue(RequestCompleted(request.id, deadline_at_ms - DEADLINE_MARGIN_MS))
 
     def on_body_released(self, request: OpenRequest) -> None:
-        """Report that a part of a request's body is no longer buffered."""
+        """Report that the start of a request's body has been forwarded and is no longer buffered."""
         self._events.enqueue(BodyReleased(request.id))
 
-    def on_client_gone(self, request: OpenRequest) -> None:
-        """Close a request whose client has disconnected."""
+    def on_client_disconnected(self, request: OpenRequest) -> None:
+        """Close an open request whose client has disconnected; it gets no response."""
         self._requests.on_client_disconnected(request)
--- a/gateway/network/clients/__init__.py
+++ b/gateway/network/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients: their connections, the requests read from them, and the limit on connections."""
+"""Serves client connections: reads requests, writes responses, and limits the number of connections."""
--- a/gateway/network/clients/body_progress.py
+++ b/gateway/network/clients/body_progress.py
@@ -1,39 +1,51 @@
-"""The rate at which the body of a request is received, without the time for which it is paused."""
+"""Detects request bodies that a client sends too slowly."""
 
 from __future__ import annotations
 
 
 class BodyProgress:
-    """The time since the head of a request; times are in milliseconds."""
+    """Measures how long the client of a connection has been sending the current request body.
+
+    The time for which the gateway has paused reading does not count. All times are in milliseconds.
+    """
 
     def __init__(self) -> None:
-        """Start before the head is complete."""
+        """Wait for the head of the first request."""
         self.reset()
 
     def reset(self) -> None:
-        """Start again with the next request."""
-        self.paused_since_ms = 0.0  # 0 while the body is not paused
-        self._head_received_ms = 0.0  # advances by the duration of each pause; 0 before the head is complete
+        """Discard the measurement, and wait for the head of the next request."""
+        self.paused_since_ms = 0.0  # 0 unless reading of the body is paused
+        # The time at which the head was complete plus the duration of all pauses; 0 until the head is
+        # complete.
+        self._body_started_ms = 0.0
 
     def on_head_received(self, now_ms: float) -> None:
-        """Start the time of the body."""
-        self._head_received_ms = now_ms
+        """Start measuring, because the head is complete and the body follows."""
+        self._body_started_ms = now_ms
 
     def pause(self, now_ms: float) -> None:
-        """Stop the time."""
+        """Stop measuring, because the gateway stops reading the body."""
         self.paused_since_ms = now_ms
 
     def resume(self, now_ms: float) -> None:
-        """Let the time continue."""
-        self._head_received_ms += now_ms - self.paused_since_ms
+        """Continue measuring after a pause; requires an earlier call of `pause`."""
+        self._body_started_ms += now_ms - self.paused_since_ms
         self.paused_since_ms = 0.0
 
     def is_overdue(self, now_ms: float, body_bytes: int, timeout_ms: float, min_bytes_per_ms: float) -> bool:
-        """Return whether the head is incomplete, or the body slower than a minimum rate.
+        """Return whether the head is still incomplete, or the body arrives too slowly.
+
+        The client may take `timeout_ms` plus the time that the received bytes need at the minimum rate.
+        While reading is paused the body is never overdue, because the gateway causes the delay.
 
-        A paused body is not overdue, since the delay is not the client's.
+        Args:
+            now_ms: The current time.
+            body_bytes: The bytes of the body received so far.
+            timeout_ms: The time that the client has even for an empty body.
+            min_bytes_per_ms: The minimum rate.
         """
-        if not self._head_received_ms:
+        if not self._body_started_ms:
             return True
         allowed_ms = timeout_ms + body_bytes / min_bytes_per_ms
-        return not self.paused_since_ms and now_ms - self._head_received_ms > allowed_ms
+        return not self.paused_since_ms and now_ms - self._body_started_ms > allowed_ms
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -1,6 +1,6 @@
-"""One connection of a client: its transport, and what its states allow.
+"""The protocol of a client connection, which reads requests from the transport and writes responses.
 
-The module `connection_state` has the states and their transitions.
+The states of a connection and their transitions are described in `connection_state`.
 """
 
 from __future__ import annotations
@@ -31,19 +31,22 @@
 from gateway.network.clients.response_writer import CONTINUE, ResponseWriter
 from gateway.network.clients.upload import Upload
 
-# Bytes of a response that wait for the client before its endpoint is no longer read.
+# Bytes of a response that are buffered for a slow client; above this, the gateway stops reading the response
+# from the endpoint.
 MAX_RESPONSE_BACKLOG_BYTES = 64 * 1024
 
-# Milliseconds for which nothing is read after the first rejected request; doubles with each further one.
+# Milliseconds for which a connection is not read after its first rejected request. The pause doubles with
+# each further rejected request.
 MIN_REJECTION_PAUSE_MS = 50.0
 
-# Milliseconds; the longest pause after a rejected request.
+# Upper bound of the pause after a rejected request, in milliseconds.
 MAX_REJECTION_PAUSE_MS = 1000.0
 
-# Rejections after which the pause no longer doubles.
+# Number of rejected requests after which the pause no longer doubles. The pause has reached its upper bound
+# by then; without this limit, the power of two would grow with each further request.
 MAX_PAUSE_DOUBLINGS = 10
 
-# The states as module names: the lookup of a member in its enum is slow in Python 3.11.
+# The states as module variables, because access to an enum member through its class is slow in Python 3.11.
 _IDLE = ConnectionState.IDLE
 _RECEIVING = ConnectionState.RECEIVING
 _RECEIVED = ConnectionState.RECEIVED
@@ -52,62 +55,65 @@
 _PAUSED = ConnectionState.PAUSED
 _CLOSING = ConnectionState.CLOSING
 
+# Target of the request by which a client asks whether this process is ready to serve.
 READINESS_TARGET = b"/up"
-TEXT = b"text/plain"
+
+TEXT_PLAIN = b"text/plain"
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection, with one open request at a time."""
+    """The protocol of a client connection, on which one request at a time is open."""
 
     transport: asyncio.Transport  # assigned in connection_made, before any other call
 
     def __init__(self, handler: RequestHandler, is_transferred: bool = False) -> None:
-        """Start without a request.
+        """Start idle; the event loop supplies the transport by `connection_made`.
 
         Args:
-            handler: Receives the connection's requests.
-            is_transferred: Whether the predecessor has served the connection before.
+            handler: Handles the requests of the connection, and is told when its state changes.
+            is_transferred: Whether the predecessor has handed the connection over.
         """
         self.is_transferred = is_transferred
         self.state = _IDLE
         self.reader = RequestReader()
-        self.request: OpenRequest | None = None
-        self.response_source: ResponseSource | None = None  # the origin of a response being forwarded
+        self.request: OpenRequest | None = None  # None while no request is open
+        self.response_source: ResponseSource | None = None  # None while no response is being forwarded
         self.received_while_closing = False
         self.closing_since_ms = 0.0
         self._handler = handler
         self._writer = ResponseWriter()
-        self._rejections = 0
+        self._rejection_count = 0  # rejected requests after which the connection stayed open
         self.body_progress = BodyProgress()
-        self._reset_request()
+        self._reset_request_state()
 
-    def _reset_request(self) -> None:
-        self._keep_alive = True
-        self._upload: Upload | None = None
+    def _reset_request_state(self) -> None:
+        self._keep_alive = True  # whether the connection may stay open after the response
+        self._upload: Upload | None = None  # the body of the current request if it is large
         self.body_progress.reset()
 
     # -- the transport's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection with the handler."""
+        """Set the write buffer limit, and register the connection with the handler."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=MAX_RESPONSE_BACKLOG_BYTES)
         self._handler.on_client_connected(self)
 
     def pause_writing(self) -> None:
-        """Pause the response being forwarded."""
+        """Pause the response being forwarded, because the client reads it too slowly."""
         if self.response_source is not None:
             self.response_source.set_response_paused(paused=True)
 
     def resume_writing(self) -> None:
-        """Resume the response being forwarded."""
+        """Resume the response being forwarded, because the write buffer has emptied."""
         if self.response_source is not None:
             self.response_source.set_response_paused(paused=False)
 
     def data_received(self, data: bytes) -> None:
-        """Read the client's bytes.
+        """Process bytes from the client according to the state of the connection.
 
-        Pipelined bytes are discarded, as unread ones would hide the client's end of the connection.
+        Bytes that follow a request before its response are read and discarded. If they stayed in the socket,
+        the gateway would not detect that the client closes the connection after them.
         """
         if self.state is _CLOSING:
             self.received_while_closing = True
@@ -116,32 +122,32 @@
         elif self.state is not _PIPELINED:
             try:
                 self._read(data)
-            except Exception:  # an error of the program ends this request only
+            except Exception:  # an internal error ends only this request
                 self._on_internal_error()
 
     def eof_received(self) -> None:
-        """Close the connection: a client that ends its sending has disconnected.
+        """Close the connection: a client that shuts down its sending side counts as disconnected.
 
-        The handler is notified at once, even if the client has not read an earlier response.
+        The handler is notified at once, even if the client has not read all of an earlier response.
         """
         self._cancel_request()
         if self.state is not _CLOSING:
             self._enter_closing()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Deregister the connection."""
+        """Release the reader, and deregister the connection and its open request from the handler."""
         self.state = _CLOSING
         self.reader.close()
         request = self.request
         self.request = None
         self.response_source = None
-        self._handler.on_client_closed(self, request)
+        self._handler.on_connection_closed(self, request)
 
     # -- the reader's events
 
     def _read(self, data: bytes) -> None:
         for event in self.reader.feed(data):
-            self._handle(event)
+            self._handle_event(event)
             if self.state is _PIPELINED or self.state is _CLOSING:
                 return
         if self.state is _PAUSED:
@@ -152,13 +158,13 @@
                 self._abort_request(rejection.status)
 
     def _on_internal_error(self) -> None:
-        """Answer 400, after the response of the open request if that is complete."""
+        """Answer 400 and close the connection; if the open request is complete, send its response first."""
         if self.state is _RECEIVED:
             self.state = _PIPELINED
         else:
             self._abort_request(HTTPStatus.BAD_REQUEST)
 
-    def _handle(self, event: RequestEvent) -> None:
+    def _handle_event(self, event: RequestEvent) -> None:
         if self.state is _RECEIVED:
             self.state = _PIPELINED
             return
@@ -174,7 +180,7 @@
                 self._on_request_received(event)
             case BodyReceived():
                 if self._upload is not None:
-                    self._upload.feed(event.data)
+                    self._upload.add_part(event.data)
             case LargeBodyStarted():
                 self._on_large_body_started(event)
             case BodyCompleted():
@@ -183,7 +189,7 @@
                 self._abort_request(event.status)
 
     def _on_message_started(self) -> None:
-        self._reset_request()
+        self._reset_request_state()
         self.state = _RECEIVING
         self._handler.on_message_started(self)
 
@@ -194,7 +200,7 @@
             self.transport.write(CONTINUE)
 
     def _on_large_body_started(self, event: LargeBodyStarted) -> None:
-        """Open the request before it is complete, so that its body is forwarded while it is received."""
+        """Open the request before its body is complete, so that the body can be forwarded meanwhile."""
         self._upload = Upload(self, event.length, event.first_part)
         received = ReceivedRequest(event.method, event.target, event.headers, b"", self._upload)
         try:
@@ -206,12 +212,12 @@
         if self.state is _DISCARDING:
             self.state = _IDLE
             self._handler.connections.on_request_complete(self)
-            self._handler.on_client_idle(self)
+            self._handler.on_connection_idle(self)
         elif self.request is not None and self._upload is not None:
             self.state = _RECEIVED
             self._handler.connections.on_request_complete(self)
-            self._upload.end()
-            self._handler.on_request_completed(self.request)
+            self._upload.finish()
+            self._handler.on_upload_completed(self.request)
 
     def _on_request_received(self, event: RequestReceived) -> None:
         self._keep_alive = event.keep_alive
@@ -223,26 +229,27 @@
         try:
             self.request = self._handler.open_request(self, request)
         except BadRequestError as error:
-            self._reject(error.status)
+            self._reject_complete_request(error.status)
         else:
             self.state = _RECEIVED
 
     # -- rejections
 
-    def _reject(self, status: int) -> None:
-        """Reject a complete request. The connection may stay, but reading pauses.
+    def _reject_complete_request(self, status: int) -> None:
+        """Answer a complete but unacceptable request with an error status, and pause reading.
 
-        The pause bounds the load of a client that repeats a bad request without delay.
+        The pause bounds the load that a client causes by repeating bad requests without delay. The connection
+        closes if the client does not keep it alive, or if the gateway drains.
         """
         if not self._keep_alive or self._handler.draining:
             self._abort_request(status)
             return
-        self._reset_request()
+        self._reset_request_state()
         self.state = _PAUSED
-        self.transport.write(self._writer.error(status, close=False))
+        self.transport.write(self._writer.error_response(status, close=False))
         self.transport.pause_reading()
-        pause_ms = MIN_REJECTION_PAUSE_MS * 2 ** min(self._rejections, MAX_PAUSE_DOUBLINGS)
-        self._rejections += 1
+        pause_ms = MIN_REJECTION_PAUSE_MS * 2 ** min(self._rejection_count, MAX_PAUSE_DOUBLINGS)
+        self._rejection_count += 1
         resume_at_ms = self._handler.clock.now() + min(MAX_REJECTION_PAUSE_MS, pause_ms)
         self._handler.timers.call_at(resume_at_ms, self._resume_after_rejection)
 
@@ -253,30 +260,35 @@
                 self.transport.resume_reading()
 
     def _abort_request(self, status: int) -> None:
-        """End the connection because of bytes that are not an acceptable request, or a timeout.
+        """Close the connection because of unacceptable bytes or a timeout.
 
-        The status is sent unless a response has been sent, or is being forwarded.
+        The client receives an error response with this status, unless the response of the current request has
+        been sent already or is being forwarded.
         """
         has_response = self.state is _DISCARDING or self.response_source is not None
         self._cancel_request()
         if has_response:
             self.abort()
         else:
-            self._finish(self._writer.error(status, close=True))
+            self._finish_and_linger(self._writer.error_response(status, close=True))
 
     def _cancel_request(self) -> None:
-        """Notify the handler that the client of the open request, if there is one, has disconnected."""
+        """If a request is open, report to the handler that the client has disconnected."""
         request = self.request
         self.request = None
         if request is not None:
-            self._handler.on_client_gone(request)
+            self._handler.on_client_disconnected(request)
 
     # -- responses
 
     def send_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Write the complete response of the open request."""
+        """Write the complete response of the open request, unless the connection is closing.
+
+        The response may be sent while the body of the request is still being received. The rest of the body
+        is then discarded, or the connection closes.
+        """
         self.request = None
         if self.transport.is_closing():
             return
@@ -289,15 +301,20 @@
     def _send_complete(
         self, status: int, body: bytes, content_type: bytes, retry_after_ms: float = 0.0
     ) -> None:
-        """Write the response of a complete request. Pipelined bytes get an error response of their own."""
+        """Write the response of a complete request.
+
+        If bytes have followed the request, status 400 is sent after the response, and the connection closes.
+        """
         is_pipelined = self.state is _PIPELINED
         close = self._must_close()
-        response = self._writer.complete(
+        response = self._writer.complete_response(
             status, body, content_type, retry_after_ms, close=close and not is_pipelined
         )
-        self._reset_request()
+        self._reset_request_state()
         if is_pipelined:
-            self._finish(response + self._writer.error(HTTPStatus.BAD_REQUEST, close=True))
+            self._finish_and_linger(
+                response + self._writer.error_response(HTTPStatus.BAD_REQUEST, close=True)
+            )
             return
         self.transport.write(response)
         if close:
@@ -308,59 +325,65 @@
     def _send_early_response(
         self, status: int, body: bytes, content_type: bytes, retry_after_ms: float
     ) -> None:
-        """Write the response of a request that is still being received."""
+        """Write the response of a request whose body is still being received."""
         close = self._must_close()
-        response = self._writer.complete(status, body, content_type, retry_after_ms, close=close)
+        response = self._writer.complete_response(status, body, content_type, retry_after_ms, close=close)
         if close:
-            self._finish(response)
+            self._finish_and_linger(response)
         else:
             self.transport.write(response)
             self._discard_body()
 
     def _send_readiness(self) -> None:
         if self._handler.ready:
-            self._send_complete(HTTPStatus.OK, b"up\n", TEXT)
+            self._send_complete(HTTPStatus.OK, b"up\n", TEXT_PLAIN)
         else:
-            self._send_complete(HTTPStatus.SERVICE_UNAVAILABLE, b"not up\n", TEXT)
+            self._send_complete(HTTPStatus.SERVICE_UNAVAILABLE, b"not up\n", TEXT_PLAIN)
 
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
-        """Write the head of a response whose parts follow by `forward_part`."""
+        """Write the head of a response; the parts of its body follow by `forward_part`.
+
+        Args:
+            source: The endpoint connection that is paused while the client reads too slowly.
+            length: The length of the body in bytes, None if it is unknown.
+            content_type: The value of Content-Type, empty if the response has none.
+        """
         self.response_source = source
         if self.transport.is_closing():
             return
         chunked = length is None and self.reader.supports_chunks
         self._keep_alive = self._keep_alive and (length is not None or chunked)
-        head = self._writer.start(length, content_type, chunked=chunked, close=self._must_close())
+        head = self._writer.response_head(length, content_type, chunked=chunked, close=self._must_close())
         self.transport.write(head)
 
     def forward_part(self, part: bytes) -> None:
-        """Write the next part of a response."""
+        """Write the next part of a forwarded response; requires an earlier call of `start_response`."""
         if not self.transport.is_closing():
-            self.transport.write(self._writer.part(part))
+            self.transport.write(self._writer.body_part(part))
 
     def finish_response(self) -> None:
-        """End a forwarded response that is complete."""
+        """Write the end of a forwarded response whose parts have all been written."""
         self.request = None
         self.response_source = None
         if self.transport.is_closing():
             return
         is_pipelined = self.state is _PIPELINED
         close = self._must_close()
-        self.transport.write(self._writer.end())
+        self.transport.write(self._writer.body_end())
         if self.state is _RECEIVING and not close:
             self._discard_body()
             return
-        self._reset_request()
+        self._reset_request_state()
         self.reader.expect_next_message()
         if is_pipelined:
-            self._finish(b"")
+            self._finish_and_linger(b"")
         elif close:
             self._close()
         else:
             self._become_idle()
 
     def abort_response(self) -> None:
-        """End the connection before a forwarded response is complete, so that the client detects it."""
+        """Abort the connection during a forwarded response, so that the client detects the missing rest."""
         self.request = None
         self.response_source = None
         self.abort()
@@ -371,10 +394,10 @@
 
     def _become_idle(self) -> None:
         self.state = _IDLE
-        self._handler.on_client_idle(self)
+        self._handler.on_connection_idle(self)
 
     def _discard_body(self) -> None:
-        """Discard the rest of a request that has received its response."""
+        """Read and discard the rest of a request whose response has been sent."""
         self.state = _DISCARDING
         self._upload = None
         self.set_body_paused(False)
@@ -382,49 +405,53 @@
     # -- the body's flow control
 
     def set_body_paused(self, paused: bool) -> None:
-        """Stop or resume reading a large body; the time in between does not count as the client's delay."""
-        now = self._handler.clock.now()
+        """Pause or resume reading a large body.
+
+        The duration of the pause does not count toward the time that the client has to send the body.
+        """
+        now_ms = self._handler.clock.now()
         if self.transport.is_closing() or paused == bool(self.body_progress.paused_since_ms):
             return
         if paused:
-            self.body_progress.pause(now)
+            self.body_progress.pause(now_ms)
             self.transport.pause_reading()
         else:
-            self.body_progress.resume(now)
+            self.body_progress.resume(now_ms)
             self.transport.resume_reading()
 
     def on_body_released(self) -> None:
-        """Note that a part of a large body is no longer buffered."""
+        """Report that the start of a large body has been forwarded and is no longer buffered."""
         if self.request is not None:
             self._handler.on_body_released(self.request)
 
     # -- the end of the connection
 
     def abort(self) -> None:
-        """Abort the connection."""
+        """Abort the connection without writing what is buffered."""
         self.state = _CLOSING
         self.transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is open, being received or unread.
+        """Close the connection unless a request on it is open, being received or unread in the socket.
 
-        Closing would reset such a request, and its client would have to send it again.
+        If the connection closed during such a request, the client would have to send the request again.
         """
         is_unused = self.state is _IDLE or self.state is _PAUSED
         if is_unused and not self.has_unread_input():
             self._close()
 
     def on_input_timeout(self) -> None:
-        """Reject the request being received, or close the connection if there is none."""
+        """Answer 408 to the request being received; if there is none, close the connection."""
         if self.is_receiving:
             self._abort_request(HTTPStatus.REQUEST_TIMEOUT)
         else:
             self.close_if_idle()
 
-    def _finish(self, data: bytes) -> None:
-        """Write the last bytes and end the sending, but continue to read for a while.
+    def _finish_and_linger(self, data: bytes) -> None:
+        """Write the last bytes and shut down the sending side, but continue to read for a while.
 
-        Otherwise a reset could discard the bytes before the client has read them.
+        If the socket closed with unread input, the kernel would reset the connection, which could discard the
+        last bytes before the client has read them. The limiter ends the reading.
         """
         if self.transport.is_closing():
             return
@@ -434,7 +461,10 @@
         self.transport.resume_reading()
 
     def _close(self) -> None:
-        """Close the connection once all is written, or by the limiter if the client does not read."""
+        """Close the connection after all buffered bytes are written.
+
+        The limiter aborts it if the client does not read them in time.
+        """
         self._enter_closing()
         self.transport.close()
 
@@ -453,7 +483,7 @@
 
     @property
     def is_pipelined(self) -> bool:
-        """Whether bytes have followed the open request before its response."""
+        """Whether bytes have followed the open request before its response was sent."""
         return self.state is _PIPELINED
 
     @property
@@ -462,26 +492,32 @@
         return self.state is _CLOSING
 
     def is_transferable(self) -> bool:
-        """Return whether another process could continue to serve the connection."""
+        """Return whether the connection is idle with all responses written, and can be handed over."""
         if self.state is not _IDLE or self.transport.is_closing():
             return False
         return not self.transport.get_write_buffer_size()
 
-    def is_input_overdue(self, now: float, timeout_ms: float, min_bytes_per_ms: float) -> bool:
-        """Return whether the head is incomplete, or the body slower than a minimum rate."""
-        return self.body_progress.is_overdue(now, self.reader.body_size, timeout_ms, min_bytes_per_ms)
+    def is_input_overdue(self, now_ms: float, timeout_ms: float, min_bytes_per_ms: float) -> bool:
+        """Return whether the head of the request is still incomplete, or its body arrives too slowly."""
+        return self.body_progress.is_overdue(now_ms, self.reader.body_size, timeout_ms, min_bytes_per_ms)
 
     def has_unread_input(self) -> bool:
-        """Return whether the socket has bytes, or the connection's end, that have not been read."""
+        """Return whether the socket holds unread bytes, or an unread end of the connection.
+
+        Always False during the pause after a rejected request, in which the gateway leaves input unread.
+        """
         if self.state is _PAUSED:
             return False
-        return self._poll(select.POLLIN)
+        return self._has_socket_event(select.POLLIN)
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has ended its sending; no event reports it while reading is paused."""
-        return self._poll(select.POLLRDHUP)
+        """Return whether the client has shut down its sending side.
+
+        The socket is polled, because the transport does not report the end while reading is paused.
+        """
+        return self._has_socket_event(select.POLLRDHUP)
 
-    def _poll(self, event_mask: int) -> bool:
+    def _has_socket_event(self, event_mask: int) -> bool:
         socket = self.transport.get_extra_info("socket")
         if socket is None or self.transport.is_closing():
             return False
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -1,12 +1,15 @@
-"""The limits on connections of clients: how many, for how long, and which are closed first.
+"""Limits the number of client connections, and the time for which they may stay without an open request.
 
-A connection is in one of three tables, or in none while a request on it is open:
+A connection is in one of three tables, or in none of them while a request on it is open:
 
-- awaiting a request: it is new, or a request is being received on it;
-- idle: its last request has received its response;
-- closing: the gateway is closing it, and may still read from it.
+- awaiting a request: the connection is new, or a request is being received on it;
+- idle: the response of the connection's last request is complete;
+- closing: the gateway is closing the connection, and may still read from it.
 
-Each table is ordered by time.
+Each table is ordered by the time at which the connections entered it.
+
+The limits on the number of connections are fractions of the file descriptors that connections to clients and
+to endpoints share (`descriptor_limits.shareable_descriptors`). Each connection occupies one descriptor.
 """
 
 from __future__ import annotations
@@ -14,53 +17,57 @@
 import asyncio
 from typing import Protocol
 
-# Connections of clients up to which none is evicted, as a fraction of the descriptors.
-KEPT_FRACTION = 0.38
+# Number of client connections above which some are evicted, as a fraction of the descriptors.
+EVICTION_THRESHOLD_FRACTION = 0.38
 
-# Connections of clients in total, evicted ones that are not closed yet included, as a fraction of the
-# descriptors.
+# Number of client connections at which new ones are refused, as a fraction of the descriptors. The difference
+# to the eviction threshold leaves descriptors for evicted connections that are not closed yet.
 ADMITTED_FRACTION = 0.46
 
-# Idle connections that may stay until IDLE_TIMEOUT_MS, as a fraction of the descriptors.
+# Number of idle client connections that may stay open for IDLE_TIMEOUT_MS, as a fraction of the descriptors.
+# Those in excess close after MIN_IDLE_MS.
 IDLE_FRACTION = 0.02
 
-# Connections of clients beyond which those without a request close after OVERLOAD_IDLE_MS, as a fraction of
-# the descriptors.
+# Number of client connections above which the process counts as overloaded, as a fraction of the descriptors:
+# connections in excess that have no request then close after OVERLOAD_IDLE_MS.
 OVERLOAD_FRACTION = 0.26
 
-# Milliseconds from a connection's start, or a request's first byte, to the end of the request's head.
+# Milliseconds that a client has to send the head of a request, from the start of a new connection or from the
+# first byte of a later request.
 INPUT_TIMEOUT_MS = 2500.0
 
-# Milliseconds that replace INPUT_TIMEOUT_MS while the gateway drains.
+# Milliseconds; replaces INPUT_TIMEOUT_MS while the gateway drains.
 SHUTDOWN_INPUT_TIMEOUT_MS = 500.0
 
-# Bytes of a body per millisecond since its head; a body slower than this after the input timeout is rejected.
+# Minimum rate of a request body in bytes per millisecond, from the end of the head. A request is rejected if
+# its body takes longer than the input timeout plus the time that the received bytes need at this rate.
 MIN_BODY_BYTES_PER_MS = 32.0
 
-# Milliseconds for which an idle connection stays even if there are too many.
+# Milliseconds for which a connection may be idle although there are more idle connections than IDLE_FRACTION
+# allows.
 MIN_IDLE_MS = 2000.0
 
-# Milliseconds that replace MIN_IDLE_MS under overload.
+# Milliseconds; replaces MIN_IDLE_MS while there are more connections than OVERLOAD_FRACTION allows.
 OVERLOAD_IDLE_MS = 250.0
 
-# Milliseconds after which an idle connection closes.
+# Milliseconds after which an idle connection closes in any case.
 IDLE_TIMEOUT_MS = 60_000.0
 
-# Milliseconds without input after which a closing connection is aborted.
+# Milliseconds for which a closing connection waits for further input before it is aborted.
 LINGER_TIMEOUT_MS = 1000.0
 
-# Milliseconds after which a closing connection is aborted even if input still arrives.
+# Milliseconds after which a closing connection is aborted although input still arrives.
 MAX_LINGER_MS = 5000.0
 
-# Milliseconds between two sweeps.
+# Milliseconds between two searches for connections that have exceeded a time limit.
 SWEEP_INTERVAL_MS = 100.0
 
 
 class LimitedConnection(Protocol):
-    """A client's connection as the limiter uses it."""
+    """The part of a client connection that the limiter uses."""
 
-    received_while_closing: bool  # set when input arrives; the limiter clears it
-    closing_since_ms: float
+    received_while_closing: bool  # the connection sets it when input arrives, the limiter clears it
+    closing_since_ms: float  # time at which the gateway began to close the connection
     transport: asyncio.Transport
 
     @property
@@ -68,139 +75,158 @@
         """Whether a request is being received."""
 
     def is_transferable(self) -> bool:
-        """Return whether another process could continue to serve the connection."""
+        """Return whether the connection is idle with all responses written, and can be handed over."""
 
     def has_unread_input(self) -> bool:
-        """Return whether the socket has input that has not been read."""
+        """Return whether the socket holds unread bytes, or an unread end of the connection."""
 
-    def is_input_overdue(self, now: float, timeout_ms: float, min_bytes_per_ms: float) -> bool:
-        """Return whether the head is incomplete, or the body slower than a minimum rate."""
+    def is_input_overdue(self, now_ms: float, timeout_ms: float, min_bytes_per_ms: float) -> bool:
+        """Return whether the head of a request is still incomplete, or its body arrives too slowly."""
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is open, being received or unread."""
+        """Close the connection unless a request on it is open, being received or unread in the socket."""
 
     def on_input_timeout(self) -> None:
-        """Reject the request being received, or close the connection if there is none."""
+        """Reject the request being received; if there is none, close the connection."""
 
     def abort(self) -> None:
-        """Abort the connection."""
+        """Abort the connection without writing what is buffered."""
 
 
-Table = dict[LimitedConnection, float]  # connections, and the time since when each is in the table
+# Maps each connection to the time at which it entered the table, in milliseconds.
+ConnectionTimes = dict[LimitedConnection, float]
 
 
 class ConnectionLimiter:
-    """The connections of clients, limited by the number of descriptors."""
+    """Admits client connections, and closes those in excess of the limits on number and time."""
 
     def __init__(self, descriptors: int) -> None:
-        """Start without connections."""
-        self.limit(descriptors)
-        self.open_connections: set[LimitedConnection] = set()
-        self._awaiting_request: Table = {}
-        self._idle: Table = {}
-        self._closing: Table = {}
+        """Start without connections, with limits for this number of descriptors."""
+        self.update_limits(descriptors)
+        self.open_connections: set[LimitedConnection] = set()  # closing connections included
+        self._awaiting_request: ConnectionTimes = {}
+        self._idle: ConnectionTimes = {}
+        self._closing: ConnectionTimes = {}
 
     def __len__(self) -> int:
-        """Return the number of connections."""
+        """Return the number of client connections, closing ones included."""
         return len(self.open_connections)
 
-    def limit(self, descriptors: int) -> None:
-        """Derive all limits from a number of descriptors."""
-        self.max_kept = int(descriptors * KEPT_FRACTION)
+    def update_limits(self, descriptors: int) -> None:
+        """Derive all limits from the number of descriptors that clients and endpoints share.
+
+        The increments made for transferred connections are discarded.
+        """
+        self.eviction_threshold = int(descriptors * EVICTION_THRESHOLD_FRACTION)
         self.max_admitted = int(descriptors * ADMITTED_FRACTION)
         self.max_idle = int(descriptors * IDLE_FRACTION)
         self.overload_threshold = int(descriptors * OVERLOAD_FRACTION)
 
-    def add_transferred(self, client: LimitedConnection, now: float) -> None:
-        """Add a connection that another process has served; each limit grows by its descriptor."""
-        self.max_kept += 1
+    def add_transferred(self, client: LimitedConnection, now_ms: float) -> None:
+        """Add an idle connection that the predecessor has handed over.
+
+        Each limit grows by one, because the connection brings its descriptor along.
+        """
+        self.eviction_threshold += 1
         self.max_admitted += 1
         self.max_idle += 1
         self.overload_threshold += 1
         self.open_connections.add(client)
-        self._idle[client] = now
+        self._idle[client] = now_ms
+
+    def add(self, client: LimitedConnection, now_ms: float) -> bool:
+        """Add a new connection, and return whether it is admitted.
 
-    def add(self, client: LimitedConnection, now: float) -> bool:
-        """Add a new connection, and return whether it is admitted."""
+        A connection beyond `max_admitted` is not added, and the caller must close it.
+        """
         if len(self.open_connections) >= self.max_admitted:
             return False
         self.open_connections.add(client)
-        self._awaiting_request[client] = now
+        self._awaiting_request[client] = now_ms
         return True
 
     def remove(self, client: LimitedConnection) -> None:
-        """Remove a connection that has closed or that another process serves."""
+        """Remove a connection that has closed or that has been handed over to another process."""
         self.open_connections.discard(client)
         self._leave_tables(client)
 
-    def on_message_started(self, client: LimitedConnection, now: float) -> None:
-        """Start the input timeout of a request, which a new connection has started already."""
+    def on_message_started(self, client: LimitedConnection, now_ms: float) -> None:
+        """Start the input timeout of a request.
+
+        On a new connection it already runs since the connection was added, and is not restarted.
+        """
         self._idle.pop(client, None)
-        self._awaiting_request.setdefault(client, now)
+        self._awaiting_request.setdefault(client, now_ms)
 
     def on_request_complete(self, client: LimitedConnection) -> None:
-        """End the input timeout of a request."""
+        """End the input timeout of a request that has been received completely."""
         self._awaiting_request.pop(client, None)
 
-    def on_idle(self, client: LimitedConnection, now: float) -> None:
-        """Note that the response of the last request is complete."""
-        self._idle[client] = now
+    def on_idle(self, client: LimitedConnection, now_ms: float) -> None:
+        """Start the idle time of a connection whose last response is complete."""
+        self._idle[client] = now_ms
 
-    def on_closing(self, client: LimitedConnection, now: float) -> None:
-        """Note that the gateway closes a connection."""
+    def on_closing(self, client: LimitedConnection, now_ms: float) -> None:
+        """Start the linger timeout of a connection that the gateway begins to close."""
         self._leave_tables(client)
-        self._closing[client] = now
+        self._closing[client] = now_ms
 
     def evict_excess(self) -> None:
-        """Abort connections until no more than `max_kept` remain.
+        """Abort connections until their number no longer exceeds `eviction_threshold`.
 
-        Closing connections go first, then those that have awaited a request for longest, then those that have
-        been idle for longest. A connection with an open request or with unread input stays.
+        Closing connections are aborted first, then connections that await a request, then idle ones; within
+        each group, those that have been in it for longest. Connections with an open request stay, and so do
+        those with unread input unless they are closing.
         """
         for table in (self._closing, self._awaiting_request, self._idle):
             for client in list(table):
-                if len(self.open_connections) <= self.max_kept:
+                if len(self.open_connections) <= self.eviction_threshold:
                     return
                 if table is self._closing or not client.has_unread_input():
                     self.remove(client)
                     client.abort()
 
-    def sweep(self, now: float, draining: bool) -> None:
-        """Close the connections whose time is over."""
-        self._sweep_slow_input(now, draining)
-        self._sweep_overload(now)
-        self._sweep_idle(now)
-        self._sweep_closing(now, draining)
+    def sweep(self, now_ms: float, draining: bool) -> None:
+        """Close each connection that has exceeded a time limit; to be called every SWEEP_INTERVAL_MS.
+
+        Args:
+            now_ms: The current time.
+            draining: Whether the gateway drains, which shortens the input timeout and the lingering.
+        """
+        self._sweep_slow_input(now_ms, draining)
+        self._sweep_overload(now_ms)
+        self._sweep_idle(now_ms)
+        self._sweep_closing(now_ms, draining)
 
-    def _sweep_slow_input(self, now: float, draining: bool) -> None:
+    def _sweep_slow_input(self, now_ms: float, draining: bool) -> None:
         timeout_ms = SHUTDOWN_INPUT_TIMEOUT_MS if draining else INPUT_TIMEOUT_MS
-        for client in _older_than(self._awaiting_request, now, timeout_ms):
-            if draining or client.is_input_overdue(now, timeout_ms, MIN_BODY_BYTES_PER_MS):
+        for client in _older_than(self._awaiting_request, now_ms, timeout_ms):
+            if draining or client.is_input_overdue(now_ms, timeout_ms, MIN_BODY_BYTES_PER_MS):
                 client.on_input_timeout()
 
-    def _sweep_overload(self, now: float) -> None:
-        """Close connections without a request early while they would exclude other clients."""
+    def _sweep_overload(self, now_ms: float) -> None:
+        """Under overload, close connections without a request early, so that new clients can connect."""
         excess = len(self.open_connections) - len(self._closing) - self.overload_threshold
         if excess <= 0:
             return
-        awaiting = _older_than(self._awaiting_request, now, OVERLOAD_IDLE_MS)
+        awaiting = _older_than(self._awaiting_request, now_ms, OVERLOAD_IDLE_MS)
         unused = [client for client in awaiting if not client.is_receiving]
-        unused += _older_than(self._idle, now, OVERLOAD_IDLE_MS)
+        unused += _older_than(self._idle, now_ms, OVERLOAD_IDLE_MS)
         for client in unused[:excess]:
             client.close_if_idle()
 
-    def _sweep_idle(self, now: float) -> None:
+    def _sweep_idle(self, now_ms: float) -> None:
         excess = len(self._idle) - self.max_idle
         if excess > 0:
-            expired = _older_than(self._idle, now, MIN_IDLE_MS)[:excess]
+            expired = _older_than(self._idle, now_ms, MIN_IDLE_MS)[:excess]
         else:
-            expired = _older_than(self._idle, now, IDLE_TIMEOUT_MS)
+            expired = _older_than(self._idle, now_ms, IDLE_TIMEOUT_MS)
         for client in expired:
             client.close_if_idle()
 
-    def _sweep_closing(self, now: float, draining: bool) -> None:
-        for client in _older_than(self._closing, now, LINGER_TIMEOUT_MS):
-            may_linger = now - client.closing_since_ms < MAX_LINGER_MS and not draining
+    def _sweep_closing(self, now_ms: float, draining: bool) -> None:
+        for client in _older_than(self._closing, now_ms, LINGER_TIMEOUT_MS):
+            may_linger = now_ms - client.closing_since_ms < MAX_LINGER_MS and not draining
             if client.received_while_closing and may_linger:
                 client.received_while_closing = False
                 self._closing[client] = self._closing.pop(client) + LINGER_TIMEOUT_MS
@@ -212,5 +238,5 @@
             table.pop(client, None)
 
 
-def _older_than(table: Table, now: float, age_ms: float) -> list[LimitedConnection]:
-    return [client for client, since_ms in table.items() if now - since_ms > age_ms]
+def _older_than(table: ConnectionTimes, now_ms: float, age_ms: float) -> list[LimitedConnection]:
+    return [client for client, since_ms in table.items() if now_ms - since_ms > age_ms]
--- a/gateway/network/clients/connection_state.py
+++ b/gateway/network/clients/connection_state.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection and their transitions.
+"""The states of a client connection and the transitions between them.
 
 | state      | meaning                                           | next states                              |
 | ---------- | ------------------------------------------------- | ---------------------------------------- |
@@ -6,14 +6,15 @@
 | RECEIVING  | a request is being received; it is open already   | RECEIVED, DISCARDING (early response),   |
 |            | if its body is large                              | PAUSED (rejected), IDLE (readiness)      |
 | RECEIVED   | the open request is complete                      | IDLE (response complete), PIPELINED      |
-| PIPELINED  | the same, and bytes followed the request; they    | CLOSING (response complete)              |
-|            | and all later ones are discarded                  |                                          |
-| DISCARDING | the response is complete; the rest of the request | IDLE (end of the request)                |
-|            | is discarded                                      |                                          |
-| PAUSED     | a request was rejected; reading resumes later     | IDLE (end of the pause)                  |
-| CLOSING    | the gateway or the client ends the connection     |                                          |
+| PIPELINED  | the open request is complete, and bytes followed  | CLOSING (response complete)              |
+|            | it; they and all later bytes are discarded        |                                          |
+| DISCARDING | the response is sent; the rest of the request is  | IDLE (end of the request)                |
+|            | still being received, and is discarded            |                                          |
+| PAUSED     | a request was rejected, and reading pauses        | IDLE (end of the pause)                  |
+| CLOSING    | the gateway or the client closes the connection   |                                          |
 
-CLOSING can follow each other state: after unacceptable bytes, a timeout, the client's end or the gateway's.
+Every state can change to CLOSING: after unacceptable bytes, after a timeout, and when the client or the
+gateway closes the connection.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class ConnectionState(enum.Enum):
-    """The state of a client's connection; the module's docstring has the transitions."""
+    """The state of a client connection; the module docstring describes each state and its transitions."""
 
     IDLE = enum.auto()
     RECEIVING = enum.auto()
--- a/gateway/network/clients/header_names.py
+++ b/gateway/network/clients/header_names.py
@@ -1,4 +1,4 @@
-"""The names of the header fields that the gateway reads from its clients' requests, in lower case."""
+"""The names, in lower case, of the header fields that the gateway reads from the requests of clients."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 RETRY = b"x-retry"
 TRANSFER_ENCODING = b"transfer-encoding"
 
-# All of them. Other fields are ignored; a request that has one of these twice is rejected.
-RECOGNIZED = frozenset(
+# All names above. A request that repeats one of these fields is rejected; fields of other names are ignored.
+RECOGNIZED_HEADERS = frozenset(
     {
         CALL_TERMS,
         CONTENT_LENGTH,
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -1,4 +1,4 @@
-"""An open request: its data from its admission until its one final response."""
+"""An accepted request of a client, until its final response."""
 
 from __future__ import annotations
 
@@ -11,59 +11,70 @@
 from gateway.network.clients.upload import Upload
 from gateway.network.clock import Timer
 
+# Value of the Host field in all requests to endpoints.
 UPSTREAM_HOST = b"api.internal"
 
-# Milliseconds; the smallest deadline that an attempt states.
+# Smallest value of X-Deadline-Ms that is sent to an endpoint, in milliseconds.
 MIN_ATTEMPT_DEADLINE_MS = 1
 
 
 class ClientChannel(Protocol):
-    """The client's connection as the request on it uses it."""
+    """The part of a client connection by which the response of its open request is written."""
 
     transport: asyncio.Transport
 
     def send_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Write a complete response."""
+        """Write the complete response; its Retry-After field is left out if `retry_after_ms` is 0."""
 
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
-        """Write the head of a response that is forwarded while it is received."""
+        """Write the head of a response; the parts of its body follow by `forward_part`.
+
+        Args:
+            source: The endpoint connection that is paused while the client reads too slowly.
+            length: The length of the body in bytes, None if it is unknown.
+            content_type: The value of Content-Type, empty if the response has none.
+        """
 
     def forward_part(self, part: bytes) -> None:
-        """Write the next part of a forwarded response."""
+        """Write the next part of a forwarded response; requires an earlier call of `start_response`."""
 
     def finish_response(self) -> None:
-        """End a forwarded response that is complete."""
+        """Write the end of a forwarded response whose parts have all been written."""
 
     def abort_response(self) -> None:
-        """End a forwarded response that cannot be completed, so that the client detects it."""
+        """Abort the connection during a forwarded response, so that the client detects the missing rest."""
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has ended its sending."""
+        """Return whether the client has shut down its sending side."""
 
     def abort(self) -> None:
-        """Abort the connection."""
+        """Abort the connection without writing what is buffered."""
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """One request on a client's connection, and the part of it that each attempt sends."""
+    """An accepted request of a client, with the data from which its attempts are built."""
 
-    id: int  # its number in this process
-    request_id: bytes  # the client's id of it
+    id: int  # unique among the requests of this process
+    request_id: bytes  # the id that the client has chosen
     class_name: str
     client: ClientChannel
-    head: bytes  # up to the value of X-Deadline-Ms, which differs between attempts
-    body: bytes  # empty where there is an upload
-    upload: Upload | None  # a body that is forwarded while it is received
-    wait_ms: float  # how long the client waits, from the request's last byte
-    attempt_count: int = 0
-    streaming_attempt: int | None = None  # the attempt whose response is forwarded while it is received
-    guard_timer: Timer | None = None  # sends a response before the deadline if the controller does not
+    head: bytes  # of an attempt, up to the value of X-Deadline-Ms, which differs between attempts
+    body: bytes  # empty if the body is in `upload`
+    upload: Upload | None  # a large body, which is forwarded while it is received
+    wait_ms: float  # time that the client waits for the response, from the last byte of the request on
+    attempt_count: int = 0  # attempts started so far
+    streaming_attempt: int | None = None  # number of the attempt whose response is being forwarded
+    guard_timer: Timer | None = None  # answers before the deadline if the controller does not
 
     def attempt_message(self, deadline_ms: float) -> bytes:
-        """Return the bytes of an attempt, with the time that remains for it in milliseconds."""
+        """Return the bytes of an attempt, without a body that is in `upload`.
+
+        Args:
+            deadline_ms: The time that remains for the attempt, in milliseconds; sent as X-Deadline-Ms.
+        """
         return b"%s%d\r\n\r\n%s" % (self.head, max(MIN_ATTEMPT_DEADLINE_MS, int(deadline_ms)), self.body)
 
 
@@ -74,22 +85,22 @@
     content_type: bytes | None,
     framing: bytes | None,
 ) -> bytes:
-    """Return the head that attempts send, up to the value of its last field, X-Deadline-Ms.
+    """Return the head of an attempt, up to the value of its last field, X-Deadline-Ms.
 
     Args:
-        validated: The fields of the client's request.
+        validated: The typed header fields of the client's request.
         method: The request method.
         target: The request target.
-        content_type: The value of Content-Type, if the client's request has one.
-        framing: The field that frames the body, if there is one.
+        content_type: The value of Content-Type, None if the client's request has none.
+        framing: The header field that gives the length or the coding of the body, None without a body.
     """
     lines = [
         b"%s %s HTTP/1.1" % (method, target),
         b"Host: " + UPSTREAM_HOST,
         b"X-Request-Id: " + validated.id,
     ]
-    if validated.key is not None:
-        lines.append(b"Idempotency-Key: " + validated.key)
+    if validated.idempotency_key is not None:
+        lines.append(b"Idempotency-Key: " + validated.idempotency_key)
     if content_type is not None:
         lines.append(b"Content-Type: " + content_type)
     if framing is not None:
--- a/gateway/network/clients/received_request.py
+++ b/gateway/network/clients/received_request.py
@@ -1,4 +1,4 @@
-"""A client's request as it was received, before it is validated."""
+"""A client's request as it was received, before its validation."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """The parts of a request; a body that is forwarded while it is received is an upload."""
+    """The parts of a request; a small body is complete in `body`, a large one is forwarded by `upload`."""
 
     method: bytes
     target: bytes
-    headers: Mapping[bytes, bytes]  # the recognized fields, by their names in lower case
-    body: bytes  # empty where there is an upload
-    upload: Upload | None
+    headers: Mapping[bytes, bytes]  # the recognized header fields by lower-case name
+    body: bytes  # empty if the body is in `upload`
+    upload: Upload | None  # None unless the body is large
 
     @property
     def has_body(self) -> bool:
--- a/gateway/network/clients/request_events.py
+++ b/gateway/network/clients/request_events.py
@@ -1,4 +1,4 @@
-"""The events of a request reader, in the order of a request's bytes."""
+"""The events that a request reader emits, in the order of the bytes that it reads."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadReceived:
-    """The head of a request is complete and passes all checks of its form."""
+    """The head of a request is complete and well-formed."""
 
-    keep_alive: bool
-    expects_continue: bool
+    keep_alive: bool  # whether the client keeps the connection open after the response
+    expects_continue: bool  # whether the client waits for status 100 before it sends the body
 
 
 @dataclass(frozen=True, slots=True)
 class LargeBodyStarted:
-    """The body of a request is too large to be buffered; its rest follows in parts."""
+    """The body of a request is too large to be buffered; the rest follows in BodyReceived events."""
 
     method: bytes
     target: bytes
     headers: dict[bytes, bytes]
-    length: int | None  # None for a chunked body
-    first_part: bytes  # buffered so far
+    length: int | None  # in bytes; None for a chunked body
+    first_part: bytes  # the part of the body received so far
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,17 +46,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request whose body was buffered is complete."""
+    """A request without a large body is complete."""
 
     request: ReceivedRequest
-    keep_alive: bool
+    keep_alive: bool  # whether the client keeps the connection open after the response
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRejected:
-    """The bytes received are not an acceptable request; later ones are ignored."""
+    """The received bytes are not an acceptable request; the reader ignores all later bytes."""
 
-    status: HTTPStatus
+    status: HTTPStatus  # of the error response
 
 
 RequestEvent = (
--- a/gateway/network/clients/request_handler.py
+++ b/gateway/network/clients/request_handler.py
@@ -1,4 +1,4 @@
-"""The interfaces that a client's connection uses: its request handler and the table of connections."""
+"""The interfaces by which a client connection reports its requests and the changes of its state."""
 
 from __future__ import annotations
 
@@ -11,66 +11,66 @@
 
 
 class HandledConnection(LimitedConnection, ClientChannel, Protocol):
-    """A client's connection as the handler uses it."""
+    """The part of a client connection that the request handler uses."""
 
-    is_transferred: bool  # whether the predecessor has served it before
+    is_transferred: bool  # whether the predecessor has handed the connection over
 
 
 class ConnectionTable(Protocol):
-    """The connections of clients, by the event that each awaits."""
+    """The part of the connection limiter that a client connection uses."""
 
     def on_request_complete(self, client: LimitedConnection) -> None:
-        """Note that the request of a connection is complete."""
+        """End the input timeout of a request that has been received completely."""
 
     def remove(self, client: LimitedConnection) -> None:
-        """Remove a connection that has closed or that another process serves."""
+        """Remove a connection that has closed or that has been handed over to another process."""
 
-    def on_closing(self, client: LimitedConnection, now: float) -> None:
-        """Note that the gateway closes a connection."""
+    def on_closing(self, client: LimitedConnection, now_ms: float) -> None:
+        """Start the linger timeout of a connection that the gateway begins to close."""
 
 
 class RequestHandler(Protocol):
-    """The handler of the requests on clients' connections."""
+    """Handles the requests and the state changes of all client connections."""
 
     clock: Clock
     timers: Timers
 
     @property
     def ready(self) -> bool:
-        """Whether this process serves."""
+        """Whether this process is ready to serve clients."""
 
     @property
     def draining(self) -> bool:
-        """Whether each connection closes after its response."""
+        """Whether each connection must close after its current response."""
 
     @property
     def connections(self) -> ConnectionTable:
-        """The connections of clients."""
+        """The table of all client connections."""
 
     def on_client_connected(self, client: HandledConnection) -> None:
-        """Add a new connection, or abort it if there are too many."""
+        """Register a new or transferred connection; abort a new one if there are too many."""
 
     def on_message_started(self, client: HandledConnection) -> None:
-        """Note that the first byte of a request has been received."""
+        """Start the input timeout of a request whose first byte has been received."""
 
-    def on_client_idle(self, client: HandledConnection) -> None:
-        """Note that the response of the last request is complete."""
+    def on_connection_idle(self, client: HandledConnection) -> None:
+        """Start the idle time of a connection whose last response is complete."""
 
-    def on_client_closed(self, client: HandledConnection, request: OpenRequest | None) -> None:
-        """Note that a connection has closed, with the request that was open on it."""
+    def on_connection_closed(self, client: HandledConnection, request: OpenRequest | None) -> None:
+        """Deregister a connection that has closed, and close `request` if one was open on it."""
 
-    def on_client_gone(self, request: OpenRequest) -> None:
-        """Note that the client of an open request has disconnected."""
+    def on_client_disconnected(self, request: OpenRequest) -> None:
+        """Close an open request whose client has disconnected; it gets no response."""
 
     def open_request(self, client: HandledConnection, received: ReceivedRequest) -> OpenRequest:
-        """Open a request.
+        """Validate a request and open it; the response follows by the methods of `ClientChannel`.
 
         Raises:
-            BadRequestError: The request is rejected; the error has the status.
+            BadRequestError: The request is rejected; the error has the status of the response.
         """
 
     def on_body_released(self, request: OpenRequest) -> None:
-        """Note that a part of a request's body is no longer buffered."""
+        """Report that the start of a request's body has been forwarded and is no longer buffered."""
 
-    def on_request_completed(self, request: OpenRequest) -> None:
-        """Note that the last byte of a large request has been received."""
+    def on_upload_completed(self, request: OpenRequest) -> None:
+        """Start the timeouts of a request whose large body has been received completely."""
--- a/gateway/network/clients/request_reader.py
+++ b/gateway/network/clients/request_reader.py
@@ -1,6 +1,7 @@
-"""Reads the requests on one connection: bytes in, typed events out, without a transport.
+"""Parses the requests on one connection: takes bytes and returns typed events, without a transport.
 
-The reader is a state machine. An input that no row names leaves the state as it is, without an event.
+The reader is a state machine. Input that has no row in the table leaves the state unchanged and emits no
+event.
 
 | state               | input                                       | next state          | events           |
 | ------------------- | ------------------------------------------- | ------------------- | ---------------- |
@@ -20,9 +21,9 @@
 | any                 | bytes that are not HTTP, or an upgrade      | REJECTED            | RequestRejected  |
 | REJECTED            | any                                         | REJECTED            |                  |
 
-RequestRejected is the last event of the bytes that were fed together. A recognized header field that a head
-has twice is reported there too, even if the head is incomplete; until then the rest of the head is processed,
-and a check that it fails determines the status.
+RequestRejected is the last event that a call of `feed` returns. If a head repeats a recognized header field,
+the call first processes the rest of its bytes and then rejects the request, even if the head is still
+incomplete. If the completed head also fails another check, that check determines the status.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 import httptools
 
 from gateway.network.clients import header_names
-from gateway.network.clients.header_names import RECOGNIZED
+from gateway.network.clients.header_names import RECOGNIZED_HEADERS
 from gateway.network.clients.received_request import ReceivedRequest
 from gateway.network.clients.request_events import (
     BodyCompleted,
@@ -48,30 +49,33 @@
 )
 from gateway.network.clients.upload import MAX_BUFFERED_BYTES
 
-# Bytes of a request's head, and of all its header fields, trailers included.
+# Upper bound of the head of a request, in bytes; also of the names and values of its header fields together
+# with its trailers.
 MAX_HEAD_BYTES = 16 * 1024
 
-# Bytes of a request's body.
+# Upper bound of the body of a request, in bytes.
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
-# Bytes of a request on the wire beyond those that MAX_RAW_BYTES_PER_BODY_BYTE allows for its body.
+# Bytes that a request may occupy on the wire, in addition to MAX_RAW_BYTES_PER_BODY_BYTE for each byte of its
+# body.
 MAX_RAW_OVERHEAD_BYTES = MAX_HEAD_BYTES + 512 * 1024
 
-# Bytes of a request on the wire per byte of its body, for chunk sizes and their extensions.
+# Bytes that a request may occupy on the wire for each byte of its body. The allowance is for chunk sizes and
+# chunk extensions, which do not count as body.
 MAX_RAW_BYTES_PER_BODY_BYTE = 8
 
-# Digits of Content-Length.
-MAX_LENGTH_DIGITS = 12
+# Upper bound of the digits of Content-Length, which is checked before the conversion to an integer.
+MAX_CONTENT_LENGTH_DIGITS = 12
 
+# Characters around a header value that are not part of it.
 OPTIONAL_WHITESPACE = b" \t"
 
-
 _MESSAGE_STARTED = MessageStarted()
 _BODY_COMPLETED = BodyCompleted()
 
 
 class ReaderState(enum.Enum):
-    """The part of a request that is being read."""
+    """The part of a request that the reader expects next."""
 
     IDLE = enum.auto()
     HEAD = enum.auto()
@@ -81,7 +85,7 @@
     REJECTED = enum.auto()
 
 
-# The states as module names: the lookup of a member in its enum is slow in Python 3.11.
+# The states as module variables, because access to an enum member through its class is slow in Python 3.11.
 _IDLE = ReaderState.IDLE
 _HEAD = ReaderState.HEAD
 _BODY = ReaderState.BODY
@@ -91,7 +95,7 @@
 
 
 class _Parser(Protocol):
-    """The HTTP parser of httptools, which has no type information."""
+    """The methods of the HTTP parser that the reader calls; httptools has no type information."""
 
     def feed_data(self, data: bytes) -> None: ...
 
@@ -103,31 +107,31 @@
 
 
 class RequestReader:
-    """Reads the requests on one connection.
+    """Parses the requests on one connection.
 
-    The methods whose names begin with `on_` are the parser's callbacks.
+    The parser calls the methods whose names begin with `on_`.
     """
 
     def __init__(self) -> None:
-        """Start in front of the first request."""
+        """Create the parser, and expect the first request."""
         self._parser: _Parser = httptools.HttpRequestParser(self)
         self._events: list[RequestEvent] = []
         self._rejection: HTTPStatus | None = None
-        self.body_size = 0  # bytes of the last body, complete or not
+        self.body_size = 0  # bytes of the current or last body received so far
         self._start_message(_IDLE)
 
     def _start_message(self, state: ReaderState) -> None:
         self.state = state
-        self.raw_size = 0  # bytes on the wire, counted at the end of each call of `feed`
-        self._header_bytes = 0
+        self.raw_size = 0  # bytes of the request on the wire; updated at the end of each call of `feed`
+        self._header_bytes = 0  # names and values of all header fields and trailers
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
-        self._body = bytearray()  # empty for a large body
+        self._body = bytearray()  # the buffered body; empty once the body counts as large
 
     # -- interface
 
     def feed(self, data: bytes) -> list[RequestEvent]:
-        """Read bytes, and return the events that they complete."""
+        """Parse bytes and return the events that they cause; after a rejection all bytes are ignored."""
         if self.state is _REJECTED:
             return []
         try:
@@ -143,7 +147,7 @@
         return events
 
     def check_raw_size(self) -> RequestRejected | None:
-        """Return a rejection if the bytes of the current request on the wire exceed their limit."""
+        """Return a rejection if the current request occupies too many bytes on the wire, otherwise None."""
         if self.state is _IDLE or self.state is _HEAD:
             if self.raw_size > MAX_HEAD_BYTES:
                 return RequestRejected(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
@@ -152,38 +156,38 @@
         return None
 
     def expect_next_message(self) -> None:
-        """Count the bytes in front of the next request from zero."""
+        """Expect the next request, and count its bytes on the wire from zero."""
         self.state = _IDLE
         self.raw_size = 0
 
     @property
     def supports_chunks(self) -> bool:
-        """Whether the client's version of HTTP has the chunked transfer coding."""
+        """Whether the HTTP version of the client's request has the chunked transfer coding."""
         return self._parser.get_http_version() == "1.1"
 
     def close(self) -> None:
-        """Release the parser, which refers to this reader in turn."""
+        """Release the parser, which refers to this reader, to break the reference cycle."""
         del self._parser
 
     # -- the parser's callbacks
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Start a request at its first byte."""
         if self.state is not _REJECTED:
             self._start_message(_HEAD)
             self._events.append(_MESSAGE_STARTED)
 
     def on_url(self, part: bytes) -> None:
-        """Append a part of the target."""
+        """Append a part of the request target."""
         if self.state is not _REJECTED:
             self._target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a recognized header field. Trailers are bounded and ignored."""
+        """Store a recognized header field of the head; trailers are ignored, but their size is bounded."""
         self._header_bytes += len(name) + len(value)
         if self.state is _HEAD:
             name = name.lower()
-            if name in RECOGNIZED:
+            if name in RECOGNIZED_HEADERS:
                 if name in self._headers:
                     self._rejection = HTTPStatus.BAD_REQUEST
                 self._headers[name] = value.strip(OPTIONAL_WHITESPACE)
@@ -191,7 +195,7 @@
             self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Check the complete head, and emit HeadReceived if it is acceptable."""
         if self.state is not _HEAD:
             return
         status = self._check_head()
@@ -209,7 +213,7 @@
             self.state = _REJECTED
 
     def on_body(self, part: bytes) -> None:
-        """Buffer a part of the body, or emit it if the body is large."""
+        """Buffer a part of the body; if the body is large, emit the part instead."""
         if self.state is _REJECTED:
             return
         self.body_size += len(part)
@@ -223,7 +227,7 @@
                 self._start_large_body()
 
     def on_message_complete(self) -> None:
-        """End a request."""
+        """Emit the end of a large body, or a complete request with its buffered body."""
         if self.state is _LARGE_BODY:
             self.state = _LARGE_BODY_RECEIVED
             self._events.append(_BODY_COMPLETED)
@@ -231,20 +235,20 @@
             request = ReceivedRequest(
                 self._parser.get_method(), self._target, self._headers, bytes(self._body), None
             )
-            # The parser does not know the value for this request after this call.
+            # After this callback, the parser no longer has the value of `should_keep_alive` for this request.
             self._events.append(RequestReceived(request, self._parser.should_keep_alive()))
             self.expect_next_message()
 
     # -- helpers
 
     def _check_head(self) -> HTTPStatus | None:
-        """Return the status with which a complete head is rejected, None if it is acceptable."""
+        """Return the status with which to reject the complete head, None if the head is acceptable."""
         length = self._headers.get(header_names.CONTENT_LENGTH)
         if length is not None:
-            # With both fields, the end of the request is ambiguous.
+            # If Content-Length and Transfer-Encoding are both present, the end of the request is ambiguous.
             if header_names.TRANSFER_ENCODING in self._headers or not length.isdigit():
                 return HTTPStatus.BAD_REQUEST
-            if len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
+            if len(length) > MAX_CONTENT_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
                 return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
         if len(self._target) + self._header_bytes > MAX_HEAD_BYTES:
             return HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
--- a/gateway/network/clients/response_source.py
+++ b/gateway/network/clients/response_source.py
@@ -1,4 +1,4 @@
-"""The interface of an endpoint's connection whose response is forwarded while it is received."""
+"""The interface of an endpoint connection whose response is forwarded while it is received."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ResponseSource(Protocol):
-    """The endpoint's connection, from which a response is forwarded."""
+    """The endpoint connection from which a response is being forwarded."""
 
     def set_response_paused(self, paused: bool) -> None:
-        """Stop or resume reading the response."""
+        """Pause or resume reading the response from the endpoint."""
--- a/gateway/network/clients/response_writer.py
+++ b/gateway/network/clients/response_writer.py
@@ -1,4 +1,4 @@
-"""Builds the bytes of the responses on one connection, without a transport."""
+"""Encodes the responses on one client connection as bytes, without a transport."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 MS_PER_S = 1000
 
-OK = int(HTTPStatus.OK)  # a plain integer compares faster
+OK = int(HTTPStatus.OK)  # comparison with a plain integer is faster than with an enum member
 
-# The statuses that clients receive, with their reason phrases.
+# The reason phrase of each status that the gateway sends to clients.
 REASON_PHRASES: dict[int, bytes] = {
     HTTPStatus.OK: b"OK",
     HTTPStatus.BAD_REQUEST: b"Bad Request",
@@ -29,22 +29,22 @@
 
 
 class ResponseWriter:
-    """Builds complete responses, and the parts of forwarded ones."""
+    """Encodes complete responses, and the head and parts of forwarded responses."""
 
     def __init__(self) -> None:
-        """Start without a forwarded response."""
-        self._chunked = False  # the framing of the response being forwarded
+        """Start without a forwarded response; `response_head` sets the framing."""
+        self._chunked = False  # whether the response being forwarded has a chunked body
 
-    def complete(
+    def complete_response(
         self, status: int, body: bytes, content_type: bytes, retry_after_ms: float, *, close: bool
     ) -> bytes:
-        """Return a response in one piece.
+        """Return the bytes of a complete response.
 
         Args:
-            status: A status of REASON_PHRASES.
+            status: The status, which must be in REASON_PHRASES.
             body: The body, which may be empty.
             content_type: The value of Content-Type; the field is left out if it is empty.
-            retry_after_ms: The value of Retry-After in milliseconds; the field is left out if it is 0.
+            retry_after_ms: The delay of Retry-After, in milliseconds; the field is left out if it is 0.
             close: Whether the response states that the connection closes.
         """
         if status == OK and not close and not content_type:
@@ -59,18 +59,18 @@
             body,
         )
 
-    def error(self, status: int, *, close: bool) -> bytes:
-        """Return a response that has no body."""
-        return self.complete(status, b"", b"", 0.0, close=close)
+    def error_response(self, status: int, *, close: bool) -> bytes:
+        """Return the bytes of a response without a body; `status` must be in REASON_PHRASES."""
+        return self.complete_response(status, b"", b"", 0.0, close=close)
 
-    def start(self, length: int | None, content_type: bytes, *, chunked: bool, close: bool) -> bytes:
-        """Return the head of a response that is forwarded while it is received.
+    def response_head(self, length: int | None, content_type: bytes, *, chunked: bool, close: bool) -> bytes:
+        """Return the head of a forwarded response, and set the framing of its body.
 
         Args:
-            length: The length of the body, None if it is unknown.
+            length: The length of the body in bytes, None if it is unknown.
             content_type: The value of Content-Type; the field is left out if it is empty.
-            chunked: Whether the body is sent in chunks. With neither chunks nor a length, it ends with
-                the connection.
+            chunked: Whether the body is sent in chunks. With neither chunks nor a length, the end of the
+                connection marks the end of the body.
             close: Whether the response states that the connection closes.
         """
         self._chunked = chunked
@@ -86,12 +86,12 @@
             _close_field(close),
         )
 
-    def part(self, data: bytes) -> bytes:
-        """Return the bytes of the next part of a forwarded response."""
+    def body_part(self, data: bytes) -> bytes:
+        """Return the next part of the body of a forwarded response, framed as its head states."""
         return b"%x\r\n%s\r\n" % (len(data), data) if self._chunked else data
 
-    def end(self) -> bytes:
-        """Return the bytes that end a forwarded response."""
+    def body_end(self) -> bytes:
+        """Return the bytes that mark the end of a forwarded response; empty unless its body is chunked."""
         return LAST_CHUNK if self._chunked else b""
 
 
--- a/gateway/network/clients/upload.py
+++ b/gateway/network/clients/upload.py
@@ -4,7 +4,8 @@
 
 from typing import Protocol
 
-# Bytes of a body that are buffered: a smaller body until it is complete, a larger one until an endpoint is
+# Upper bound of the bytes of a request body that are buffered. A body within it is buffered until it is
+# complete; a larger one is forwarded while it is received, and is buffered only until an endpoint is
 # connected.
 MAX_BUFFERED_BYTES = 256 * 1024
 
@@ -12,57 +13,64 @@
 
 
 class BodySource(Protocol):
-    """The client's connection, from which a body is received."""
+    """The client connection from which a body is received."""
 
     def set_body_paused(self, paused: bool) -> None:
-        """Stop or resume reading the body."""
+        """Pause or resume reading the body from the client."""
 
     def is_disconnected(self) -> bool:
-        """Return whether the client has ended its sending."""
+        """Return whether the client has shut down its sending side."""
 
     def on_body_released(self) -> None:
-        """Note that a part of the body is no longer buffered."""
+        """Report that the start of the body has been forwarded and is no longer buffered."""
 
 
 class BodySink(Protocol):
-    """The endpoint's connection, to which a body is forwarded."""
+    """The endpoint connection to which a body is forwarded."""
 
     @property
     def blocked(self) -> bool:
-        """Return whether the connection's write buffer is full."""
+        """Whether the write buffer of the connection is full."""
 
     def write_part(self, data: bytes) -> None:
-        """Write a part of a request, not the last."""
+        """Write a part of a request that is not the last."""
 
     def write_last(self, data: bytes) -> None:
-        """Write the end of a request."""
+        """Write the last part of a request, which may be empty."""
 
 
 class Upload:
     """The body of a request that is forwarded while it is received.
 
-    One endpoint alone receives it, as no byte is kept after it has been forwarded.
+    Forwarded bytes are discarded, so the body can be sent to one endpoint only.
     """
 
     def __init__(self, client: BodySource, length: int | None, first_part: bytes) -> None:
-        """Start with the part received so far; the length is None for a chunked body."""
+        """Buffer the part of the body received so far.
+
+        Args:
+            client: The connection from which the rest of the body is received.
+            length: The length of the body in bytes, None for a chunked body.
+            first_part: The bytes received so far, which may be empty.
+        """
         self._client = client
         self._chunked = length is None
         self._parts = [first_part] if first_part else []
         self._buffered_bytes = len(first_part)
-        self._sink: BodySink | None = None  # the connection to which the first byte was written
-        self.is_complete = False  # whether the last byte has been received
+        self._sink: BodySink | None = None  # None until forwarding starts
+        self.is_complete = False  # whether the whole body has been received
+        # The header field that gives the length or the coding of the body.
         self.framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
 
     def may_send(self) -> bool:
-        """Return whether an attempt may still send the body from its first byte.
+        """Return whether a new attempt may send the body: all bytes are buffered and the client is connected.
 
-        The client's socket is checked too: while reading is paused, its end is not reported.
+        The client's socket is polled, because no event reports a disconnect while reading is paused.
         """
         return self._sink is None and not self._client.is_disconnected()
 
-    def feed(self, part: bytes) -> None:
-        """Forward a part, or buffer it until an endpoint is connected.
+    def add_part(self, part: bytes) -> None:
+        """Forward the next part of the body, or buffer it if forwarding has not started.
 
         Reading from the client pauses once MAX_BUFFERED_BYTES are buffered.
         """
@@ -74,14 +82,14 @@
         if self._buffered_bytes >= MAX_BUFFERED_BYTES:
             self._client.set_body_paused(True)
 
-    def end(self) -> None:
-        """Note that the last byte has been received."""
+    def finish(self) -> None:
+        """Mark the body as complete, and write its end if forwarding has started."""
         self.is_complete = True
         if self._sink is not None:
             self._sink.write_last(LAST_CHUNK if self._chunked else b"")
 
     def start_forwarding(self, sink: BodySink, head: bytes) -> None:
-        """Write the head and the buffered parts to an endpoint's new connection, then forward there."""
+        """Write the head and the buffered parts to an endpoint connection, and all later parts as well."""
         data = head + b"".join(map(self._framed, self._parts))
         self._parts.clear()
         self._sink = sink
@@ -93,7 +101,7 @@
             self._client.set_body_paused(sink.blocked)
 
     def on_endpoint_blocked(self, blocked: bool) -> None:
-        """Pause or resume the client as the write buffer of the endpoint's connection fills or empties."""
+        """Pause reading from the client if the endpoint connection's write buffer is full, else resume."""
         if not self.is_complete:
             self._client.set_body_paused(blocked)
 
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -1,7 +1,7 @@
-"""The gateway: wires clients, endpoints, peers and the controller of one process.
+"""Connects the network code of a gateway process to its controller.
 
-Clients' connections, attempts and peers report events; the controller decides in the turns of
-`ControllerLoop`; the gateway passes each action to the part that carries it out.
+Client connections, attempts and peers report events. `ControllerLoop` passes the events to the controller,
+and the gateway passes each action that the controller returns to the object that carries it out.
 """
 
 from __future__ import annotations
@@ -41,17 +41,17 @@
 
 
 class Gateway:
-    """One process of a gateway: its parts, and the controller's actions (`ActionHandler`)."""
+    """Owns the network objects of a gateway process, and implements `ActionHandler` with them."""
 
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, controller: Controller | None = None
     ) -> None:
-        """Make all parts; without a controller, make the one that the settings describe."""
+        """Create all network objects, and by default a controller with the settings and seed of `config`."""
         self.config = config
         self.loop = loop
         self.clock = Clock()
         self.timers = Timers(loop, self.clock)
-        self.metrics = Metrics(kind.name for kind in config.settings.classes)
+        self.metrics = Metrics(request_class.name for request_class in config.settings.classes)
         self.role = ProcessRole()
         self.controller_loop = ControllerLoop(
             loop, self.clock, controller or Controller(config.settings, config.seed), self
@@ -96,43 +96,49 @@
     # -- discovery and peers
 
     def on_endpoint_list(self, endpoint_list: EndpointList) -> None:
-        """Apply a snapshot or an incremental update from discovery."""
+        """Apply a snapshot or an incremental update from discovery, and report it to the controller.
+
+        Entries that the update displaces are reported as removed.
+        """
         displaced = self.upstreams.update(endpoint_list)
         endpoints = [entry.endpoint for entry in endpoint_list.entries]
         endpoints += [replace(entry.endpoint, state=EndpointState.REMOVED) for entry in displaced]
         self.controller_loop.enqueue(EndpointUpdate(tuple(endpoints), endpoint_list.is_snapshot))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
-        """Report a peer's datagram, also to the predecessor, whose requests it may concern."""
+        """Report a peer's datagram, and forward it to the predecessor, whose open requests it may concern."""
         self.controller_loop.enqueue(GossipReceived(sender, data))
         predecessor = self.role.predecessor
         if predecessor is not None:
             predecessor.send_gossip(sender, data)
 
     def on_sibling_gossip(self, sender: int, data: bytes) -> None:
-        """Report a datagram that another process of this gateway has sent or forwarded."""
+        """Report a datagram that a sibling process of this gateway has sent or forwarded."""
         self.controller_loop.enqueue(GossipReceived(sender, data))
 
     # -- actions
 
     def send_attempt(self, action: SendAttempt) -> None:
-        """Start an attempt."""
+        """Send an attempt, unless its request has ended or its client has disconnected."""
         self.attempt_runner.send(action)
 
     def reject(self, action: Reject) -> None:
-        """Answer 503, with advice when to retry."""
+        """Answer 503 with the time after which the client may retry, if the request is open."""
         self.requests.reject(action.id, action.retry_after_ms)
 
     def fail(self, action: Fail) -> None:
-        """Answer 502."""
+        """Answer 502, if the request is open."""
         self.requests.fail(action.id)
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Cancel an attempt."""
+        """Cancel an attempt, if it is in flight."""
         self.attempt_runner.cancel(action)
 
     def set_timer(self, action: SetTimer) -> None:
-        """Report the timer on the grid of the controller's ticks: timers of one tick share one turn."""
+        """Report TimerFired at the first multiple of the tick that is not before the timer's time.
+
+        Timers within one tick thus expire together, and cause a single call of the controller.
+        """
         fired = TimerFired(action.name)
         earliest_ms = self.clock.now() + action.after_ms
         tick_ms = max(1.0, self.config.settings.tick_ms)
@@ -140,7 +146,7 @@
         self.timers.call_at(due_ms, lambda: self.controller_loop.enqueue(fired))
 
     def send_gossip(self, action: SendGossip) -> None:
-        """Send a datagram to a peer, or to another process of this gateway."""
+        """Send a datagram to a peer, or to the sibling process if the receiver is this gateway."""
         if action.receiver != self.config.settings.number:
             self.gossip_socket.send(action.receiver, action.data)
             return
@@ -149,20 +155,20 @@
             sibling.send_gossip(action.receiver, action.data)
 
     def check_health(self, action: CheckHealth) -> None:
-        """Do nothing: the service sends no health checks."""
+        """Do nothing, because this service sends no health checks to endpoints."""
 
     def subscribe_endpoints(self, action: SubscribeEndpoints) -> None:
-        """Do nothing: discovery is watched from the start."""
+        """Do nothing, because the process watches discovery from its start."""
 
     # -- the admin endpoint
 
     @property
     def ready(self) -> bool:
-        """Whether this process serves."""
+        """Whether this process is ready to serve clients."""
         return self.role.is_ready
 
     def metrics_text(self) -> bytes:
-        """Return the metrics in Prometheus' text format."""
+        """Return the metrics in the text format of Prometheus."""
         listed, avoided = self.controller_loop.controller.endpoint_counts(self.clock.now())
         return self.metrics.text(
             open_requests=len(self.requests.open), registry_entries=listed, out_of_rotation=avoided
@@ -171,7 +177,10 @@
     # -- hot restart
 
     def retire(self, successor: SuccessorLink) -> GatewayState:
-        """Leave the service to the successor and return the controller's state; open requests stay here."""
+        """Stop serving in favour of the successor, and return the controller's state for it.
+
+        Open requests are finished by this process.
+        """
         self.role.retire(successor)
         self.gossip_socket.stop_listening()
         self.upstreams.close_idle_connections()
@@ -181,20 +190,27 @@
     def take_over(
         self, predecessor: SiblingLink, state: GatewayState, request_ids: list[str], descriptors: int
     ) -> None:
-        """Restore the predecessor's state; until it ends, use that number of descriptors only."""
+        """Take over the service of the predecessor.
+
+        Args:
+            predecessor: The link to the predecessor, which still finishes its open requests.
+            state: The state of the predecessor's controller.
+            request_ids: The ids of open and recent requests, which new requests must not repeat.
+            descriptors: The number of descriptors that this process may use until the predecessor ends.
+        """
         self.role.follow(predecessor)
         self.requests.ids.restore(request_ids)
         hot_restart.restore_state(self.controller_loop.controller, self.clock.now(), state)
         self._limit_descriptors(descriptors)
 
     def on_predecessor_ended(self) -> None:
-        """Use all descriptors, now that the predecessor has released its own."""
+        """Use all descriptors of the limit, because the predecessor has released those that it held."""
         self.role.on_predecessor_ended()
         hot_restart.on_predecessor_ended(self.controller_loop.controller)
         self._limit_descriptors(self.config.sockets)
 
     def on_successor_ended(self) -> bool:
-        """Serve again, unless this process is shutting down; return whether it serves."""
+        """Serve again after the end of the successor, unless shutting down; return whether it serves."""
         self.role.on_successor_ended()
         if not self.role.is_ready:
             return False
@@ -204,30 +220,33 @@
         return True
 
     def _limit_descriptors(self, descriptors: int) -> None:
-        self.connections.limit(shareable_descriptors(descriptors))
+        self.connections.update_limits(shareable_descriptors(descriptors))
         self.upstreams.limit(max_upstream_connections(descriptors))
 
     # -- the phases of the service
 
     def start_serving(self) -> None:
-        """Enter the phase SERVING."""
+        """Enter the phase SERVING, in which the process is ready for clients."""
         self.role.phase = ServicePhase.SERVING
 
     def begin_shutdown(self, within_ms: float) -> None:
-        """Serve on, with deadlines of new requests within that time."""
+        """Continue to serve, but limit the deadlines of new requests to `within_ms` from now."""
         self.role.phase = ServicePhase.SHUTTING_DOWN
         self.requests.begin_shutdown(self.clock.now() + within_ms)
 
     def start_draining(self) -> None:
-        """Close each connection after its response, from now on."""
+        """Enter the phase DRAINING, in which each connection closes after its response."""
         self.role.phase = ServicePhase.DRAINING
 
     def has_open_work(self) -> bool:
-        """Return whether a request or a client connection is open."""
+        """Return whether a request or a client connection is still open."""
         return bool(self.requests.open or self.connections)
 
     def continue_draining(self) -> bool:
-        """Hand over or close idle connections; return whether open work remains."""
+        """Hand over or close the idle connections, and return whether a request or a connection is open.
+
+        To be called repeatedly until it returns False or the time for draining is over.
+        """
         self.frontend.hand_over_idle_connections()
         self.frontend.close_idle_connections()
         return self.has_open_work()
--- a/tests/network/clients/test_connection.py
+++ b/tests/network/clients/test_connection.py
@@ -1,4 +1,4 @@
-"""Tests of a client's connection."""
+"""Tests of the protocol of a client connection."""
 
 import asyncio
 import gc
@@ -9,7 +9,7 @@
 from gateway.network.process_role import ServicePhase
 
 
-async def test_connection_close_of_the_client_is_honoured(endpoint, client):
+async def test_connection_closes_after_the_response_if_the_client_requests_it(endpoint, client):
     client.send(http_request(extra="Connection: close\r\n"))
     _, writer = await endpoint.next_request()
     writer.write(http_response())
@@ -18,7 +18,7 @@
     ] == "close" and await client.is_closed_by_peer()
 
 
-async def test_pipelined_requests_get_the_first_response_and_a_400(endpoint, client):
+async def test_request_pipelined_in_the_same_segment_gets_a_400_after_the_first_response(endpoint, client):
     client.send(http_request() + http_request())
     _, writer = await endpoint.next_request()
     writer.write(http_response(body=b"first"))
@@ -27,7 +27,9 @@
     assert endpoint.requests.empty()
 
 
-async def test_bytes_before_the_response_count_as_pipelined(endpoint, gateway, client):
+async def test_request_received_before_the_response_gets_a_400_after_the_first_response(
+    endpoint, gateway, client
+):
     client.send(http_request())
     _, writer = await endpoint.next_request()
     client.send(http_request())
@@ -39,7 +41,7 @@
     assert (await client.next_response()).status == 400
 
 
-async def test_request_in_fragments_is_read_completely(endpoint, client):
+async def test_request_received_in_single_bytes_is_forwarded_completely(endpoint, client):
     for byte in http_request(path="/debit", body=b"piece"):
         client.send(bytes([byte]))
         await client.writer.drain()
@@ -50,7 +52,7 @@
     assert (await client.next_response()).status == 200
 
 
-async def test_closed_connection_leaves_no_reference_cycle(endpoint, gateway, client):
+async def test_closed_connection_is_freed_without_the_garbage_collector(endpoint, gateway, client):
     client.send(http_request())
     _, writer = await endpoint.next_request()
     writer.write(http_response())
@@ -58,17 +60,17 @@
     gc.collect()
     gc.disable()
     try:
-        one = weakref.ref(*gateway.connections.open_connections)
+        connection = weakref.ref(*gateway.connections.open_connections)
         client.close()
-        while one() is not None:
+        while connection() is not None:
             await asyncio.sleep(0)
     finally:
         gc.enable()
 
 
-async def test_readiness_request_succeeds_only_when_ready(gateway, client):
-    up = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
+async def test_readiness_request_gets_a_503_before_service_and_a_200_in_service(gateway, client):
+    readiness_request = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
     gateway.role.phase = ServicePhase.STARTING
-    assert (await client.send(up).next_response()).status == 503
+    assert (await client.send(readiness_request).next_response()).status == 503
     gateway.role.phase = ServicePhase.SERVING
-    assert (await client.send(up).next_response()).status == 200
+    assert (await client.send(readiness_request).next_response()).status == 200
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -1,4 +1,4 @@
-"""Tests of which clients' connections are closed when there are too many."""
+"""Tests of the limits on client connections and of the choice of the connections that close."""
 
 import asyncio
 import os
@@ -9,7 +9,7 @@
 from support.http_messages import http_request, http_response
 
 
-async def test_over_the_limit_closing_then_silent_then_idle_connections_go_first(
+async def test_eviction_order_is_closing_then_awaiting_a_request_then_idle(
     endpoint, gateway, running_gateway, client
 ):
     limiter = gateway.connections
@@ -20,16 +20,16 @@
     silent = [await running_gateway.connect() for _ in range(2)]
     rejected = (await running_gateway.connect()).send(b"noise\r\n\r\n")
     assert (await rejected.next_response()).status == 400
-    for max_kept, closed in ((4, rejected), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
-        limiter.max_kept = max_kept
+    for eviction_threshold, closed in ((4, rejected), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
+        limiter.eviction_threshold = eviction_threshold
         limiter.evict_excess()
         if closed is not None:
-            assert await closed.is_closed_by_peer() and len(limiter) == max_kept
+            assert await closed.is_closed_by_peer() and len(limiter) == eviction_threshold
     assert len(limiter) == 1 and len(gateway.requests.open) == 1
 
 
 def send_without_reading(client, connection):
-    """Send a request, and block the event loop until it waits to be read."""
+    """Send a request, and block the event loop until the request is unread in the gateway's socket."""
     os.write(client.writer.get_extra_info("socket").fileno(), http_request())
     while not select.select([connection.transport.get_extra_info("socket")], [], [], 5)[0]:
         pass
@@ -48,21 +48,21 @@
         gateway.start_draining()
         gateway.frontend.close_idle_connections()
     else:
-        gateway.connections.max_kept = 0
+        gateway.connections.eviction_threshold = 0
         gateway.connections.evict_excess()
     _, writer = await endpoint.next_request()
     writer.write(http_response())
     assert (await client.next_response()).status == 200
 
 
-async def test_hundreds_of_simultaneous_connections_do_not_exclude_others(
+async def test_client_that_connects_again_is_served_while_unused_connections_fill_the_limit(
     endpoint, gateway, running_gateway, client
 ):
     limiter = gateway.connections
     await until_connected(gateway, 1)
     others = [await running_gateway.connect() for _ in range(limiter.max_admitted + 20)]
     late = (await running_gateway.connect()).send(http_request())
-    while True:  # at the limit a new connection is closed, and the client connects again
+    while True:  # above the limit the gateway closes a new connection, and the client connects again
         received = asyncio.ensure_future(endpoint.next_request())
         closed = asyncio.ensure_future(late.is_closed_by_peer())
         await asyncio.wait((received, closed), return_when=asyncio.FIRST_COMPLETED)
@@ -76,11 +76,13 @@
         other.close()
 
 
-async def test_excess_idle_connections_close_longest_idle_first(endpoint, gateway, running_gateway, client):
+async def test_excess_idle_connections_close_after_the_minimum_idle_time_longest_idle_first(
+    endpoint, gateway, running_gateway, client
+):
     gateway.connections.max_idle = 1
     second = await running_gateway.connect()
-    for one in (client, second):
-        await complete_request(endpoint, one)
+    for connected in (client, second):
+        await complete_request(endpoint, connected)
     sweep_after(gateway, 1900)
     assert len(gateway.connections) == 2
     sweep_after(gateway, 2100)
@@ -90,11 +92,13 @@
     assert await second.is_closed_by_peer()
 
 
-async def test_idle_connections_close_sooner_under_overload(endpoint, gateway, running_gateway, client):
+async def test_excess_idle_connections_close_after_the_overload_idle_time_under_overload(
+    endpoint, gateway, running_gateway, client
+):
     gateway.connections.overload_threshold = 1
     other = await running_gateway.connect()
-    for one in (client, other):
-        await complete_request(endpoint, one)
+    for connected in (client, other):
+        await complete_request(endpoint, connected)
     sweep_after(gateway, 300)
     assert await client.is_closed_by_peer() and len(gateway.connections) == 1
     sweep_after(gateway, 300)
--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -18,7 +18,9 @@
 )
 
 
-async def test_client_disconnect_reaches_the_controller(endpoint, controller, gateway, client):
+async def test_client_disconnect_is_reported_and_closes_the_open_request(
+    endpoint, controller, gateway, client
+):
     client.send(http_request())
     await endpoint.next_request()
     arrival = await controller.next_event(RequestArrived)
@@ -27,10 +29,8 @@
 
 
 @pytest.mark.scripted_controller(endpoint=None)
-async def test_disconnect_behind_pipelined_bytes_reaches_the_controller(
-    endpoint, controller, gateway, client
-):
-    """No attempt is sent for the request once its client has disconnected."""
+async def test_client_disconnect_after_pipelined_bytes_is_reported(endpoint, controller, gateway, client):
+    """An attempt that the controller starts afterwards is not sent."""
     client.send(http_request() + b"x" * (4 << 20))
     arrival = await controller.next_event(RequestArrived)
     client.writer.write_eof()
@@ -44,8 +44,8 @@
 
 
 @pytest.mark.scripted_controller(endpoint=None)
-async def test_disconnect_with_an_unread_response_reaches_the_controller(controller, gateway, client):
-    """The end of the connection is detected although the response is not written completely."""
+async def test_client_disconnect_with_an_unread_response_is_reported(controller, gateway, client):
+    """The disconnect is detected although the gateway cannot write all bytes to the client."""
     client.send(http_request())
     arrival = await controller.next_event(RequestArrived)
     (connection,) = gateway.connections.open_connections
@@ -54,11 +54,11 @@
     client.writer.write_eof()
     async with asyncio.timeout(5):
         assert (await controller.next_event(ClientDisconnected)).id == arrival.id
-        while gateway.connections.open_connections:  # its descriptor becomes free
+        while gateway.connections.open_connections:  # until the connection has released its descriptor
             await asyncio.sleep(0.01)
 
 
-async def test_no_attempt_starts_for_a_client_whose_end_is_unread(
+async def test_no_attempt_is_sent_for_a_client_whose_disconnect_is_unread(
     monkeypatch, endpoint, controller, gateway, running_gateway, client
 ):
     monkeypatch.setattr("gateway.network.upstream.endpoint.REUSE_DELAY_MS", 0.0)
@@ -71,14 +71,18 @@
         await asyncio.get_running_loop().sock_connect(sock, (HOST, running_gateway.port))
         sock.send(http_request())
         arrival = await controller.next_event(RequestArrived)
-    gateway.send_attempt(SendAttempt(arrival.id, "w1", 9000.0))  # before the end is read
+    gateway.send_attempt(
+        SendAttempt(arrival.id, "w1", 9000.0)
+    )  # before the event loop reads the end of the connection
     outcome = await controller.next_event(AttemptEnded)
     assert (outcome.id, outcome.result, outcome.final) == (arrival.id, AttemptResult.NOT_SENT, True)
     assert (await controller.next_event(ClientDisconnected)).id == arrival.id
     assert endpoint.requests.empty() and not gateway.attempts.in_flight
 
 
-async def test_incompletely_written_attempt_ends_with_its_client(endpoint, controller, gateway, client):
+async def test_incompletely_written_attempt_is_cancelled_when_the_client_disconnects(
+    endpoint, controller, gateway, client
+):
     client.send(http_request(path="/debit", body=bytes(60_000)))
     await endpoint.next_request()
     (attempt,) = gateway.attempts.in_flight.values()
--- a/tests/network/clients/test_response_writer.py
+++ b/tests/network/clients/test_response_writer.py
@@ -1,4 +1,4 @@
-"""Tests of clients: response writer."""
+"""Tests of the response writer: the bytes of complete and forwarded responses."""
 
 import pytest
 
@@ -32,16 +32,16 @@
         ),
     ],
 )
-def test_complete_response_has_the_fields_that_apply(arguments, close, expected):
-    assert ResponseWriter().complete(*arguments, close=close) == expected
+def test_complete_response_has_only_the_fields_with_a_value(arguments, close, expected):
+    assert ResponseWriter().complete_response(*arguments, close=close) == expected
 
 
 @pytest.mark.parametrize("status", [status for status in REASON_PHRASES if status != 200])
 @pytest.mark.parametrize("close", [True, False])
-def test_error_has_no_body(status, close):
+def test_error_response_has_no_body(status, close):
     last = b"Connection: close\r\n\r\n" if close else b"\r\n"
     head = b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\n" % (status, REASON_PHRASES[status])
-    assert ResponseWriter().error(status, close=close) == head + last
+    assert ResponseWriter().error_response(status, close=close) == head + last
 
 
 @pytest.mark.parametrize(
@@ -52,18 +52,21 @@
         (None, False, b"", b"abc", b""),
     ],
 )
-def test_forwarded_response_is_framed_by_its_length_its_chunks_or_its_connection(
+def test_body_of_a_forwarded_response_is_framed_by_length_chunks_or_the_end_of_the_connection(
     length, chunked, framing, part, end
 ):
     writer = ResponseWriter()
-    head = writer.start(length, b"t/x", chunked=chunked, close=True)
+    head = writer.response_head(length, b"t/x", chunked=chunked, close=True)
     assert head == b"HTTP/1.1 200 OK\r\n" + framing + b"Content-Type: t/x\r\nConnection: close\r\n\r\n"
-    assert writer.part(b"abc") == part
-    assert writer.end() == end
+    assert writer.body_part(b"abc") == part
+    assert writer.body_end() == end
 
 
-def test_framing_is_that_of_the_last_response():
+def test_framing_follows_the_head_of_the_latest_response():
     writer = ResponseWriter()
-    writer.start(None, b"", chunked=True, close=False)
-    assert writer.start(1, b"", chunked=False, close=False) == b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
-    assert (writer.part(b"x"), writer.end()) == (b"x", b"")
+    writer.response_head(None, b"", chunked=True, close=False)
+    assert (
+        writer.response_head(1, b"", chunked=False, close=False)
+        == b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
+    )
+    assert (writer.body_part(b"x"), writer.body_end()) == (b"x", b"")
--- a/tests/network/clients/test_timeouts.py
+++ b/tests/network/clients/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Tests of requests that arrive too slowly."""
+"""Tests of the input timeout of requests that arrive too slowly."""
 
 import asyncio
 
@@ -18,10 +18,12 @@
         (http_request(body=b"half")[:-2], 408),
     ],
 )
-async def test_incomplete_request_times_out_with_an_error_or_a_close(sent, status, gateway, client):
-    """That takes 2 to 3 s, including the interval of the sweep."""
+async def test_incomplete_request_gets_a_408_and_a_connection_without_a_request_closes(
+    sent, status, gateway, client
+):
+    """The timeout takes effect after 2 to 3 s, including the interval of the sweep."""
     client.send(sent)
-    while sent and not any(one.reader.raw_size for one in gateway.connections.open_connections):
+    while sent and not any(connection.reader.raw_size for connection in gateway.connections.open_connections):
         await asyncio.sleep(0)
     await until_connected(gateway, 1)
     sweep_after(gateway, 2000)
--- a/tests/network/clients/test_upload.py
+++ b/tests/network/clients/test_upload.py
@@ -1,4 +1,4 @@
-"""Tests of a request body, and of the endpoint that it is sent to."""
+"""Tests of large request bodies that are forwarded to an endpoint."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,7 +8,7 @@
 
 
 class FakeConnection:
-    """A client's or an endpoint's connection, as an upload uses it."""
+    """A fake client or endpoint connection; records what an upload writes and reports."""
 
     def __init__(self, disconnected=False):
         self.is_body_released = False
@@ -29,12 +29,12 @@
 @pytest.mark.parametrize(
     ("length", "written"), [(4, b"head\r\n\r\nbody"), (None, b"head\r\n\r\n4\r\nbody\r\n0\r\n\r\n")]
 )
-def test_complete_body_is_sent_to_one_endpoint_only(length, written):
+def test_complete_body_is_written_and_may_not_be_sent_again(length, written):
     client = FakeConnection()
     endpoint = FakeConnection()
     upload = uploads.Upload(client, length, b"")
-    upload.feed(b"body")
-    upload.end()
+    upload.add_part(b"body")
+    upload.finish()
     assert upload.may_send()
     upload.start_forwarding(endpoint, b"head\r\n\r\n")
     assert endpoint.written == written and client.is_body_released and not upload.may_send()
@@ -42,17 +42,17 @@
 
 @given(st.lists(st.binary(min_size=1, max_size=100), max_size=10))
 @settings(deadline=None)
-def test_body_is_sent_unchanged_in_whatever_pieces_it_arrives(pieces):
-    body = b"".join(pieces)
+def test_body_is_forwarded_unchanged_for_any_sizes_of_its_parts(parts):
+    body = b"".join(parts)
     endpoint = FakeConnection()
     upload = uploads.Upload(FakeConnection(), len(body), b"")
-    for piece in pieces:
-        upload.feed(piece)
-    upload.end()
+    for part in parts:
+        upload.add_part(part)
+    upload.finish()
     upload.start_forwarding(endpoint, b"head\r\n\r\n")
     assert endpoint.written == b"head\r\n\r\n" + body
 
 
-def test_body_of_a_disconnected_client_is_sent_to_no_endpoint():
+def test_body_of_a_disconnected_client_may_not_be_sent():
     client = FakeConnection(disconnected=True)
     assert not uploads.Upload(client, 4, b"body").may_send()
