--- a/gateway/__init__.py
+++ b/gateway/__init__.py
@@ -2,6 +2,6 @@
 
 import os
 
-# Set before uvloop is imported: the kernel thread (iou-sqp) of libuv's io_uring polls continuously and would
-# use the gateway's share of a processor core.
+# Disables io_uring in libuv, which uvloop uses. With it, a kernel thread (iou-sqp) polls continuously and
+# uses up the gateway's share of a processor core. The variable must be set before uvloop is imported.
 os.environ["UV_USE_IO_URING"] = "0"
--- a/gateway/network/__init__.py
+++ b/gateway/network/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's sockets and timers. Nothing in here decides anything."""
+"""The sockets and timers of the gateway; all decisions are made by the controller in `gateway.policy`."""
--- a/gateway/network/clock.py
+++ b/gateway/network/clock.py
@@ -1,4 +1,4 @@
-"""The gateway's clock and its timers."""
+"""The clock of the gateway, and timers that expire by it."""
 
 from __future__ import annotations
 
@@ -10,78 +10,83 @@
 
 
 class Clock:
-    """Unix time in milliseconds; it never goes back, even if the machine's clock is set."""
+    """Unix time in milliseconds that never goes backward, even if the system clock is changed."""
 
     def __init__(self) -> None:
-        """Read the machine's clock, once."""
+        """Read the system clock; later changes of it have no effect."""
         self._base_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def now(self) -> float:
-        """Return the time, in milliseconds."""
+        """Return the current Unix time in milliseconds."""
         return self._base_ms + time.monotonic() * 1000
 
 
 class Timer:
-    """One scheduled call, which can be cancelled."""
+    """A scheduled call that can be cancelled."""
 
     __slots__ = ("call",)
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        """Schedule this call."""
-        self.call: Callable[[], None] | None = call
+    def __init__(self, callback: Callable[[], None]) -> None:
+        """Hold the callback until it has been called or the timer is cancelled."""
+        self.call: Callable[[], None] | None = callback  # None once called or cancelled
 
     def cancel(self) -> None:
-        """Cancel the call, if it has not been made."""
+        """Prevent the call; has no effect once it has been made."""
         self.call = None
 
 
 class Timers:
-    """All timers of the gateway, on one timer of the event loop.
+    """All timers of the gateway, driven by a single timer of the event loop.
 
-    Setting and cancelling a timer is cheap, as most timers are cancelled before they expire.
+    Scheduling and cancelling a timer is cheap, since most timers are cancelled before they expire: a
+    cancelled timer stays in the heap until it reaches the top.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
-        """Begin with no timer."""
+        """Start without timers."""
         self._loop = loop
         self._clock = clock
         self._heap: list[tuple[float, int, Timer]] = []
-        self._scheduled = 0
+        self._scheduled_count = 0  # orders timers of equal times by their scheduling
         self._handle: asyncio.TimerHandle | None = None
-        self._armed_ms = math.inf
-
-    def call_at(self, when_ms: float, call: Callable[[], None]) -> Timer:
-        """Schedule a call at that time of the clock or soon after, never before."""
-        self._scheduled += 1
-        timer = Timer(call)
-        heapq.heappush(self._heap, (when_ms, self._scheduled, timer))
-        if when_ms < self._armed_ms:
+        self._armed_at_ms = math.inf  # time for which `_handle` is set; infinite if it is not set
+
+    def call_at(self, when_ms: float, callback: Callable[[], None]) -> Timer:
+        """Schedule a call at `when_ms` by the clock or shortly after, but never before.
+
+        A callback that raises does not prevent the calls of other timers.
+        """
+        self._scheduled_count += 1
+        timer = Timer(callback)
+        heapq.heappush(self._heap, (when_ms, self._scheduled_count, timer))
+        if when_ms < self._armed_at_ms:
             self._arm(when_ms)
         return timer
 
     def _arm(self, when_ms: float) -> None:
         if self._handle is not None:
             self._handle.cancel()
-        self._armed_ms = when_ms
-        # The event loop counts in milliseconds from the start of its turn; rounded up, no timer is early.
+        self._armed_at_ms = when_ms
+        # The event loop measures the delay in milliseconds from the start of its current iteration; it is
+        # rounded up so that no timer expires early.
         delay_ms = math.ceil(max(0.0, when_ms - self._clock.now()))
-        self._handle = self._loop.call_later(delay_ms / 1000, self._expire)
+        self._handle = self._loop.call_later(delay_ms / 1000, self._run_expired)
 
-    def _expire(self) -> None:
+    def _run_expired(self) -> None:
         self._handle = None
-        self._armed_ms = -math.inf  # `call_at` does not arm while expired timers are called
+        self._armed_at_ms = -math.inf  # keeps `call_at` from arming the event loop's timer in this loop
         now_ms = self._clock.now()
         heap = self._heap
         try:
             while heap and heap[0][0] <= now_ms:
                 timer = heapq.heappop(heap)[2]
-                call = timer.call
+                callback = timer.call
                 timer.call = None  # breaks the reference cycle with a caller that holds the timer
-                if call is not None:
-                    call()
+                if callback is not None:
+                    callback()
         finally:
             while heap and heap[0][2].call is None:
                 heapq.heappop(heap)
-            self._armed_ms = math.inf
+            self._armed_at_ms = math.inf
             if heap:
                 self._arm(heap[0][0])
--- a/gateway/network/controller_loop.py
+++ b/gateway/network/controller_loop.py
@@ -1,7 +1,7 @@
-"""The turns of the controller: events in, decisions, actions out.
+"""Passes events to the controller and its actions to the code that carries them out.
 
-All events of one turn of the event loop go to the controller in one call; its actions are dispatched to an
-`ActionHandler`, which has one method for each kind of action.
+All events of one iteration of the event loop are passed to the controller in one call. The actions that it
+returns are dispatched to an `ActionHandler`, which has one method for each type of action.
 """
 
 from __future__ import annotations
@@ -25,38 +25,39 @@
 from gateway.network.clock import Clock
 from gateway.policy.controller import Controller
 
-ERROR_LOG_INTERVAL_MS = 10_000.0  # errors of the controller are logged at most once in this time, ms
+# Milliseconds between two log entries for errors of the controller; errors in between are not logged.
+ERROR_LOG_INTERVAL_MS = 10_000.0
 
 log = logging.getLogger(__name__)
 
 
 class EventSink(Protocol):
-    """Where the network code reports events for the controller."""
+    """Accepts the events that the network code reports to the controller."""
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the controller's next turn."""
+        """Queue an event for the next call of the controller."""
 
 
 class ActionHandler(Protocol):
-    """Carries out the controller's actions."""
+    """Carries out the actions that the controller returns."""
 
     def send_attempt(self, action: SendAttempt) -> None:
-        """Start an attempt."""
+        """Send an attempt of a request to an endpoint."""
 
     def reject(self, action: Reject) -> None:
-        """Answer a request that was not executed, with advice when to retry."""
+        """Answer a request that was not executed, and state when the client may retry."""
 
     def fail(self, action: Fail) -> None:
         """Answer a request that failed."""
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
-        """Cancel an attempt."""
+        """Cancel an attempt that is in flight."""
 
     def set_timer(self, action: SetTimer) -> None:
-        """Report a TimerFired event later."""
+        """Report a TimerFired event after the delay that the action states."""
 
     def send_gossip(self, action: SendGossip) -> None:
-        """Send a datagram."""
+        """Send a datagram to another gateway or to a sibling process of this gateway."""
 
     def check_health(self, action: CheckHealth) -> None:
         """Check the health of an endpoint."""
@@ -66,7 +67,7 @@
 
 
 class ControllerLoop:
-    """Collects events, calls the controller once a turn, and dispatches its actions."""
+    """Queues events, calls the controller once per event loop iteration, and dispatches its actions."""
 
     def __init__(
         self,
@@ -75,7 +76,7 @@
         controller: Controller,
         actions: ActionHandler,
     ) -> None:
-        """Call this controller on this event loop, and let `actions` carry out what it returns."""
+        """Start with an empty queue; `actions` carries out the actions that the controller returns."""
         self.controller = controller
         self._loop = loop
         self._clock = clock
@@ -84,19 +85,22 @@
         self._next_error_log_ms = 0.0
 
     def enqueue(self, event: Event) -> None:
-        """Keep an event for the controller's next turn, at the end of this turn of the event loop."""
+        """Queue an event; the controller is called once for all events of an event loop iteration."""
         if not self._events:
-            self._loop.call_soon(self._run_turn)
+            self._loop.call_soon(self._process_events)
         self._events.append(event)
 
-    def _run_turn(self) -> None:
+    def _process_events(self) -> None:
         events = self._events
         self._events = []
-        for action in self._decide(events):
-            self._dispatch(action)
+        for action in self._call_controller(events):
+            self._dispatch_action(action)
 
-    def _decide(self, events: list[Event]) -> list[Action]:
-        """Return the controller's actions; none if it raises, in which case guard timers answer."""
+    def _call_controller(self, events: list[Event]) -> list[Action]:
+        """Return the controller's actions for these events, and log its errors.
+
+        If the controller raises, no action is returned; the guard timers then answer the open requests.
+        """
         actions: list[Action] = []
         try:
             actions = self.controller.handle(self._clock.now(), events)
@@ -107,8 +111,8 @@
             self._log_errors(errors, len(events))
         return actions
 
-    def _dispatch(self, action: Action) -> None:
-        """Pass an action to its method; the most frequent kinds are tested first."""
+    def _dispatch_action(self, action: Action) -> None:
+        """Pass an action to the handler's method for its type; the most frequent types are tested first."""
         handler = self._actions
         match action:
             case SendAttempt():
--- a/gateway/network/descriptor_limits.py
+++ b/gateway/network/descriptor_limits.py
@@ -1,22 +1,30 @@
-"""How the limit on file descriptors is divided among clients, endpoints and everything else."""
+"""Divides the limit on file descriptors between client connections, endpoint connections and other uses."""
 
 from __future__ import annotations
 
 from gateway.network.clients.connection_limiter import ADMITTED_FRACTION
 
-# Upstream fraction: share of the shareable descriptors that connections to endpoints may use.
+# Number of endpoint connections that may be open, as a fraction of the descriptors that connections to
+# clients and to endpoints share.
 UPSTREAM_FRACTION = 0.42
 
-# Reserved descriptors, number: kept for the event loop, discovery, peers, the admin endpoint and a successor.
+# Number of descriptors that connections to clients and to endpoints may not use: the event loop, discovery,
+# peers, the admin endpoint and a successor need them.
 RESERVED_DESCRIPTORS = 30
 
 
 def shareable_descriptors(descriptors: int) -> int:
-    """Return the number of which clients and endpoints get fractions, so that the reserve remains."""
+    """Return the number of descriptors to which the fractions for clients and endpoints apply.
+
+    The two fractions of it leave RESERVED_DESCRIPTORS free. It does not exceed `descriptors`.
+
+    Args:
+        descriptors: The number of descriptors that the process may use.
+    """
     available = descriptors - RESERVED_DESCRIPTORS
     return min(descriptors, int(available / (ADMITTED_FRACTION + UPSTREAM_FRACTION)))
 
 
 def max_upstream_connections(descriptors: int) -> int:
-    """Return how many connections to endpoints may be open."""
+    """Return how many endpoint connections may be open if the process may use that number of descriptors."""
     return int(shareable_descriptors(descriptors) * UPSTREAM_FRACTION)
--- a/tests/network/clients/test_connection.py
+++ b/tests/network/clients/test_connection.py
@@ -18,7 +18,7 @@
     ] == "close" and await client.is_closed_by_peer()
 
 
-async def test_request_pipelined_in_the_same_segment_gets_a_400_after_the_first_response(endpoint, client):
+async def test_request_pipelined_in_one_write_gets_a_400_after_the_first_response(endpoint, client):
     client.send(http_request() + http_request())
     _, writer = await endpoint.next_request()
     writer.write(http_response(body=b"first"))
--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -71,9 +71,8 @@
         await asyncio.get_running_loop().sock_connect(sock, (HOST, running_gateway.port))
         sock.send(http_request())
         arrival = await controller.next_event(RequestArrived)
-    gateway.send_attempt(
-        SendAttempt(arrival.id, "w1", 9000.0)
-    )  # before the event loop reads the end of the connection
+    # The event loop has not read the end of the connection yet.
+    gateway.send_attempt(SendAttempt(arrival.id, "w1", 9000.0))
     outcome = await controller.next_event(AttemptEnded)
     assert (outcome.id, outcome.result, outcome.final) == (arrival.id, AttemptResult.NOT_SENT, True)
     assert (await controller.next_event(ClientDisconnected)).id == arrival.id
--- a/tests/network/test_clock.py
+++ b/tests/network/test_clock.py
@@ -5,7 +5,7 @@
 from gateway.network.clock import Clock, Timers
 
 
-async def test_timers_expire_in_order_and_never_early():
+async def test_timers_expire_in_the_order_of_their_times_and_never_early():
     loop = asyncio.get_running_loop()
     clock = Clock()
     timers = Timers(loop, clock)
@@ -26,7 +26,7 @@
     assert fired == [0.0, 10.25, 20.0, 30.5]
 
 
-async def test_failing_timer_does_not_stop_the_others():
+async def test_callback_that_raises_does_not_prevent_other_timers():
     loop = asyncio.get_running_loop()
     clock = Clock()
     loop.set_exception_handler(lambda *_: None)
@@ -37,8 +37,8 @@
     await done.wait()
 
 
-def test_clock_returns_unix_time_and_only_advances(monkeypatch):
+def test_clock_returns_unix_time_and_ignores_a_change_of_the_system_clock(monkeypatch):
     clock = Clock()
     first = clock.now()
-    monkeypatch.setattr("time.time", lambda: 5.0)  # as after a step back
+    monkeypatch.setattr("time.time", lambda: 5.0)  # as if the system clock had been set back
     assert clock.now() >= first > 1.6e12
--- a/tests/network/test_controller_loop.py
+++ b/tests/network/test_controller_loop.py
@@ -1,4 +1,4 @@
-"""Tests of the loop that passes events to the controller and carries out its actions."""
+"""Tests of the loop that passes events to the controller and dispatches its actions."""
 
 import asyncio
 import logging
@@ -23,15 +23,15 @@
 
 
 class ScriptedController:
-    """Records the events of each turn and returns the next actions of a script."""
+    """Records the events of each call, and returns the next actions of a script or raises its next error."""
 
     def __init__(self, *script):
         self.script = list(script)
-        self.turns = []
+        self.calls = []
         self.errors = []
 
     def handle(self, _now_ms, events):
-        self.turns.append(events)
+        self.calls.append(events)
         result = self.script.pop(0) if self.script else []
         if isinstance(result, Exception):
             raise result
@@ -39,7 +39,7 @@
 
 
 class RecordingHandler:
-    """Records each action with the name of the method that got it."""
+    """Records each action with the name of the method that is called with it."""
 
     def __init__(self):
         self.calls = []
@@ -49,7 +49,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that a test sets."""
+    """A clock that advances only when a test sets `now_ms`."""
 
     def __init__(self):
         self.now_ms = 1e6
@@ -68,73 +68,75 @@
     return ManualClock()
 
 
-async def run_turns():
-    """Let the event loop make the calls that are due."""
+async def run_event_loop():
+    """Let the event loop run the callbacks that are ready, and those that they schedule."""
     for _ in range(3):
         await asyncio.sleep(0)
 
 
-def controller_loop(controller, handler, clock):
+def new_controller_loop(controller, handler, clock):
     return ControllerLoop(asyncio.get_running_loop(), clock, controller, handler)
 
 
-async def test_events_of_one_event_loop_turn_are_one_controller_turn(handler, clock):
+async def test_events_of_one_event_loop_iteration_are_passed_in_one_call(handler, clock):
     controller = ScriptedController()
-    turns = controller_loop(controller, handler, clock)
-    turns.enqueue(TimerFired("a"))
-    turns.enqueue(TimerFired("b"))
-    assert not controller.turns
-    await run_turns()
-    turns.enqueue(TimerFired("c"))
-    await run_turns()
-    assert controller.turns == [[TimerFired("a"), TimerFired("b")], [TimerFired("c")]]
+    loop = new_controller_loop(controller, handler, clock)
+    loop.enqueue(TimerFired("a"))
+    loop.enqueue(TimerFired("b"))
+    assert not controller.calls
+    await run_event_loop()
+    loop.enqueue(TimerFired("c"))
+    await run_event_loop()
+    assert controller.calls == [[TimerFired("a"), TimerFired("b")], [TimerFired("c")]]
 
 
-async def test_event_enqueued_by_an_action_comes_in_the_next_turn(handler, clock):
+async def test_event_enqueued_by_an_action_is_passed_in_the_next_call(handler, clock):
     controller = ScriptedController([ACTIONS["fail"]])
-    turns = controller_loop(controller, handler, clock)
-    handler.fail = lambda action: turns.enqueue(TimerFired("next"))
-    turns.enqueue(TimerFired("first"))
-    await run_turns()
-    assert controller.turns == [[TimerFired("first")], [TimerFired("next")]]
+    loop = new_controller_loop(controller, handler, clock)
+    handler.fail = lambda action: loop.enqueue(TimerFired("next"))
+    loop.enqueue(TimerFired("first"))
+    await run_event_loop()
+    assert controller.calls == [[TimerFired("first")], [TimerFired("next")]]
 
 
 @pytest.mark.parametrize("method", ACTIONS)
-async def test_each_action_is_dispatched_to_its_method(method, handler, clock):
-    turns = controller_loop(ScriptedController([ACTIONS[method]]), handler, clock)
-    turns.enqueue(TimerFired("now"))
-    await run_turns()
+async def test_action_is_dispatched_to_the_method_for_its_type(method, handler, clock):
+    loop = new_controller_loop(ScriptedController([ACTIONS[method]]), handler, clock)
+    loop.enqueue(TimerFired("now"))
+    await run_event_loop()
     assert handler.calls == [(method, ACTIONS[method])]
 
 
-async def test_failing_turn_is_logged_once_in_an_interval_and_ends_no_later_turn(handler, clock, caplog):
+async def test_error_of_the_controller_is_logged_once_per_interval_and_later_events_are_passed(
+    handler, clock, caplog
+):
     controller = ScriptedController(ValueError("a"), ValueError("b"), [ACTIONS["fail"]], ValueError("c"))
-    turns = controller_loop(controller, handler, clock)
+    loop = new_controller_loop(controller, handler, clock)
 
-    async def lines_of_next_turn():
+    async def log_lines_of_next_call():
         caplog.clear()
-        turns.enqueue(TimerFired("now"))
-        await run_turns()
+        loop.enqueue(TimerFired("now"))
+        await run_event_loop()
         return [record.getMessage() for record in caplog.records]
 
     line = "controller: 1 of 1 events failed (logged at most once in 10 s)"
     with caplog.at_level(logging.ERROR):
-        assert await lines_of_next_turn() == [line]
-        assert await lines_of_next_turn() == []
-        assert await lines_of_next_turn() == []
+        assert await log_lines_of_next_call() == [line]
+        assert await log_lines_of_next_call() == []
+        assert await log_lines_of_next_call() == []
         assert handler.calls == [("fail", ACTIONS["fail"])]
         clock.now_ms += ERROR_LOG_INTERVAL_MS
-        assert await lines_of_next_turn() == [line]
+        assert await log_lines_of_next_call() == [line]
 
 
-async def test_errors_of_single_events_are_logged_and_the_actions_carried_out(handler, clock, caplog):
+async def test_errors_of_single_events_are_logged_and_the_actions_are_dispatched(handler, clock, caplog):
     controller = ScriptedController([ACTIONS["fail"]])
     controller.errors = [KeyError("event")]
-    turns = controller_loop(controller, handler, clock)
-    turns.enqueue(TimerFired("a"))
-    turns.enqueue(TimerFired("b"))
+    loop = new_controller_loop(controller, handler, clock)
+    loop.enqueue(TimerFired("a"))
+    loop.enqueue(TimerFired("b"))
     with caplog.at_level(logging.ERROR):
-        await run_turns()
+        await run_event_loop()
     (record,) = caplog.records
     assert record.getMessage().startswith("controller: 1 of 2 events failed")
     assert record.exc_info[1] is controller.errors[0]
--- a/tests/network/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway between a client, a controller and an endpoint."""
+"""Tests of a gateway with a client, a scripted controller and an endpoint."""
 
 import pytest
 from support.client import TestClient
@@ -33,9 +33,7 @@
     assert not gateway.requests.open and not gateway.attempts.in_flight
 
 
-async def test_first_response_of_two_hedged_attempts_is_the_final_answer(
-    endpoint, controller, gateway, client
-):
+async def test_first_response_of_two_attempts_is_sent_to_the_client(endpoint, controller, gateway, client):
     client.send(http_request())
     _, first = await endpoint.next_request()
     arrival = await controller.next_event(RequestArrived)
@@ -53,7 +51,9 @@
     assert (await client.next_response()).body == b"third"
 
 
-async def test_send_for_an_ended_request_ends_as_not_sent(endpoint, controller, gateway, client):
+async def test_attempt_for_a_request_that_is_not_open_is_reported_as_not_sent(
+    endpoint, controller, gateway, client
+):
     controller.pending_actions = [SendAttempt(77, "w1", 100.0)]
     gateway.controller_loop.enqueue(TimerFired("late"))
     outcome = await controller.next_event(AttemptEnded)
@@ -62,28 +62,30 @@
 
 
 @pytest.mark.scripted_controller(endpoint=None)
-async def test_guard_timer_answers_before_the_deadline(controller, client):
+async def test_request_without_an_attempt_gets_a_504_from_the_guard_timer(controller, client):
     status, _, _ = await client.send(http_request(deadline=60)).next_response()
     assert status == 504
     arrival = await controller.next_event(RequestArrived)
     assert (await controller.next_event(ClientDisconnected)).id == arrival.id
 
 
-async def test_wake_ups_within_one_tick_share_a_turn_and_are_never_early(gateway, client):
+async def test_controller_timers_are_rounded_up_to_a_multiple_of_the_tick(gateway, client):
     times = []
-    gateway.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
-    gateway.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
+    gateway.clock = type("FixedClock", (), {"now": staticmethod(lambda: 4_000_000.0)})
+    gateway.timers = type(
+        "RecordingTimers", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))}
+    )
     for after_ms in (0.0, 0.5, 4.0, 4.5):
         gateway.set_timer(SetTimer(after_ms, "agenda"))
     assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
 
-async def test_guard_timer_answers_although_the_controller_fails(controller, client):
+async def test_request_gets_a_504_from_the_guard_timer_if_the_controller_raises(controller, client):
     controller.handle = lambda now, events: 1 / 0
     assert (await client.send(http_request(deadline=60)).next_response()).status == 504
 
 
-async def test_policy_controller_serves_a_request_end_to_end():
+async def test_request_is_served_with_the_controller_of_the_policy_package():
     async with (
         FakeEndpoint() as endpoint,
         RunningGateway(known=[endpoint_entry("w1", endpoint.port)]) as running_gateway,
