--- a/gateway/network/clock.py
+++ b/gateway/network/clock.py
@@ -24,15 +24,15 @@
 class Timer:
     """A scheduled call that can be cancelled."""
 
-    __slots__ = ("call",)
+    __slots__ = ("callback",)
 
     def __init__(self, callback: Callable[[], None]) -> None:
         """Hold the callback until it has been called or the timer is cancelled."""
-        self.call: Callable[[], None] | None = callback  # None once called or cancelled
+        self.callback: Callable[[], None] | None = callback  # None once called or cancelled
 
     def cancel(self) -> None:
         """Prevent the call; has no effect once it has been made."""
-        self.call = None
+        self.callback = None
 
 
 class Timers:
@@ -80,12 +80,12 @@
         try:
             while heap and heap[0][0] <= now_ms:
                 timer = heapq.heappop(heap)[2]
-                callback = timer.call
-                timer.call = None  # breaks the reference cycle with a caller that holds the timer
+                callback = timer.callback
+                timer.callback = None  # breaks the reference cycle with a caller that holds the timer
                 if callback is not None:
                     callback()
         finally:
-            while heap and heap[0][2].call is None:
+            while heap and heap[0][2].callback is None:
                 heapq.heappop(heap)
             self._armed_at_ms = math.inf
             if heap:
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -42,8 +42,8 @@
         end_ms = self.now_ms + ms
         while self._heap and self._heap[0][0] <= end_ms:
             self.now_ms, _, timer = heapq.heappop(self._heap)
-            if timer.call is not None:
-                timer.call()
+            if timer.callback is not None:
+                timer.callback()
         self.now_ms = end_ms
 
 
