--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -100,7 +100,7 @@
         self._handler.on_client_connected(self)
 
     def pause_writing(self) -> None:
-        """Pause the response being forwarded, because the client reads it too slowly."""
+        """Pause the response being forwarded, because the write buffer is full."""
         if self.response_source is not None:
             self.response_source.set_response_paused(paused=True)
 
@@ -121,7 +121,7 @@
             self.state = _PIPELINED
         elif self.state is not _PIPELINED:
             try:
-                self._read(data)
+                self._read_requests(data)
             except Exception:  # an internal error ends only this request
                 self._on_internal_error()
 
@@ -145,7 +145,7 @@
 
     # -- the reader's events
 
-    def _read(self, data: bytes) -> None:
+    def _read_requests(self, data: bytes) -> None:
         for event in self.reader.feed(data):
             self._handle_event(event)
             if self.state is _PIPELINED or self.state is _CLOSING:
@@ -389,6 +389,7 @@
         self.abort()
 
     def _must_close(self) -> bool:
+        """Return whether the connection closes after the current response."""
         is_ending = self.state is _PIPELINED or self.state is _CLOSING
         return is_ending or self._handler.draining or not self._keep_alive
 
--- a/gateway/network/clients/request_reader.py
+++ b/gateway/network/clients/request_reader.py
@@ -70,6 +70,7 @@
 # Characters around a header value that are not part of it.
 OPTIONAL_WHITESPACE = b" \t"
 
+# The events without fields; one instance of each is used for all requests.
 _MESSAGE_STARTED = MessageStarted()
 _BODY_COMPLETED = BodyCompleted()
 
@@ -147,7 +148,10 @@
         return events
 
     def check_raw_size(self) -> RequestRejected | None:
-        """Return a rejection if the current request occupies too many bytes on the wire, otherwise None."""
+        """Return a rejection if the current request occupies too many bytes on the wire, otherwise None.
+
+        The limit is MAX_HEAD_BYTES up to the end of the head, and grows with the body after that.
+        """
         if self.state is _IDLE or self.state is _HEAD:
             if self.raw_size > MAX_HEAD_BYTES:
                 return RequestRejected(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
--- a/gateway/network/clients/response_writer.py
+++ b/gateway/network/clients/response_writer.py
@@ -4,8 +4,10 @@
 
 from http import HTTPStatus
 
+# Interim response that asks a client with `Expect: 100-continue` to send the body.
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
+# Marks the end of a chunked body.
 LAST_CHUNK = b"0\r\n\r\n"
 
 MS_PER_S = 1000
--- a/gateway/network/clients/upload.py
+++ b/gateway/network/clients/upload.py
@@ -9,6 +9,7 @@
 # connected.
 MAX_BUFFERED_BYTES = 256 * 1024
 
+# Marks the end of a chunked body.
 LAST_CHUNK = b"0\r\n\r\n"
 
 
--- a/gateway/network/descriptor_limits.py
+++ b/gateway/network/descriptor_limits.py
@@ -16,7 +16,8 @@
 def shareable_descriptors(descriptors: int) -> int:
     """Return the number of descriptors to which the fractions for clients and endpoints apply.
 
-    The two fractions of it leave RESERVED_DESCRIPTORS free. It does not exceed `descriptors`.
+    It is chosen so that RESERVED_DESCRIPTORS remain free when clients and endpoints use all of their
+    fractions, and is at most `descriptors`.
 
     Args:
         descriptors: The number of descriptors that the process may use.
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -184,6 +184,7 @@
         self.role.retire(successor)
         self.gossip_socket.stop_listening()
         self.upstreams.close_idle_connections()
+        # The number of endpoint connections of this process may no longer grow.
         self.upstreams.limit(self.upstreams.connections)
         return hot_restart.export_state(self.controller_loop.controller, self.clock.now())
 
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -35,7 +35,7 @@
         pass
 
 
-@pytest.mark.parametrize("close", ["at shutdown", "under overload"])
+@pytest.mark.parametrize("close", ["draining", "eviction"])
 @pytest.mark.parametrize("has_served", [True, False])
 async def test_connection_with_an_unread_request_is_not_closed(close, has_served, endpoint, gateway, client):
     if has_served:
@@ -44,7 +44,7 @@
         await until_connected(gateway, 1)
     (connection,) = gateway.connections.open_connections
     send_without_reading(client, connection)
-    if close == "at shutdown":
+    if close == "draining":
         gateway.start_draining()
         gateway.frontend.close_idle_connections()
     else:
