--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -150,7 +150,7 @@
             return
         self._last_progress_ms = self._clock.now()
         self._owner.on_streaming_started(self)
-        attempt.upload.attach(self.writer, attempt.message)
+        attempt.upload.start_forwarding(self.writer, attempt.message)
 
     def set_response_paused(self, paused: bool) -> None:
         """Stop reading the response while the write buffer to its client is full, or resume it."""
