--- a/gateway/interface/events.py
+++ b/gateway/interface/events.py
@@ -1,7 +1,6 @@
 """The events that the decision package handles. Times are in milliseconds of the caller's clock.
 
-A name that ends in `_at_ms` is a point in time. Any other name in `_ms` is a duration, unless its comment
-differs.
+A name that ends in `_at_ms` is a point in time; any other name that ends in `_ms` is a duration.
 """
 
 from __future__ import annotations
@@ -50,7 +49,7 @@
     cell: int
     state: EndpointState
     weight: float = 1.0
-    started_ms: float = 0.0  # point in time at which the process started; 0 for long ago
+    started_at_ms: float = 0.0  # when the process started; 0 for long ago
 
     def shares_keys_with(self, other: Endpoint, scope: KeyScope) -> bool:
         """Return whether both endpoints drop duplicates of the same idempotency keys."""
--- a/gateway/network/discovery/drain_memory.py
+++ b/gateway/network/discovery/drain_memory.py
@@ -51,7 +51,7 @@
         withdrawal = self._withdrawn.get(endpoint.id)
         if endpoint.state is not EndpointState.READY or withdrawal is None:
             return entry
-        if withdrawal.started_ms != endpoint.started_ms:
+        if withdrawal.started_ms != endpoint.started_at_ms:
             return entry  # another process
         return replace(entry, endpoint=replace(endpoint, state=EndpointState.DRAINING))
 
@@ -63,11 +63,11 @@
     def _record(self, entry: EndpointEntry, now_s: float) -> None:
         endpoint = entry.endpoint
         if endpoint.state is EndpointState.READY:
-            self._ready[endpoint.id] = endpoint.started_ms
+            self._ready[endpoint.id] = endpoint.started_at_ms
             self._withdrawn.pop(endpoint.id, None)
         else:
             self._ready.pop(endpoint.id, None)
-            self._withdrawn[endpoint.id] = _Withdrawal(endpoint.started_ms, now_s)
+            self._withdrawn[endpoint.id] = _Withdrawal(endpoint.started_at_ms, now_s)
 
     def _forget_old_withdrawals(self, now_s: float) -> None:
         self._withdrawn = {
--- a/gateway/network/upstream/endpoint.py
+++ b/gateway/network/upstream/endpoint.py
@@ -50,7 +50,7 @@
         """Return whether an entry lists the same address and start time."""
         return (
             self.entry.address == entry.address
-            and self.entry.endpoint.started_ms == entry.endpoint.started_ms
+            and self.entry.endpoint.started_at_ms == entry.endpoint.started_at_ms
         )
 
     def has_capacity(self) -> bool:
--- a/gateway/network/upstream/endpoint_registry.py
+++ b/gateway/network/upstream/endpoint_registry.py
@@ -57,7 +57,7 @@
             successor = successors.get(entry.address)
             if successor is None or successor.id == endpoint_id:
                 continue
-            if successor.started_ms >= entry.endpoint.started_ms:
+            if successor.started_at_ms >= entry.endpoint.started_at_ms:
                 self._retire(endpoint_id)
                 displaced.append(entry)
         return displaced
--- a/gateway/policy/endpoints/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -26,7 +26,7 @@
                 endpoint.entry = replace(endpoint.entry, state=EndpointState.REMOVED)
         for entry in update.endpoints:
             current = self.by_id.get(entry.id)
-            if current is None or current.entry.started_ms != entry.started_ms:
+            if current is None or current.entry.started_at_ms != entry.started_at_ms:
                 self.by_id[entry.id] = EndpointRecord(entry)
             else:
                 current.entry = entry
--- a/gateway/policy/endpoints/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -18,8 +18,8 @@
 
 def capacity_fraction(settings: Settings, now_ms: float, endpoint: Endpoint) -> float:
     """Return the fraction of its full capacity that an endpoint has reached."""
-    age_ms = now_ms - endpoint.started_ms
-    if not endpoint.started_ms or age_ms >= settings.slow_start_ms:
+    age_ms = now_ms - endpoint.started_at_ms
+    if not endpoint.started_at_ms or age_ms >= settings.slow_start_ms:
         return 1.0
     floor = settings.slow_start_floor
     return floor + (1 - floor) * max(0.0, age_ms) / settings.slow_start_ms
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -125,7 +125,7 @@
     directory = controller.directory
     for snapshot in state.endpoints:
         endpoint = directory.table.by_id.get(snapshot.id)
-        if endpoint is not None and endpoint.entry.started_ms == snapshot.started_ms:
+        if endpoint is not None and endpoint.entry.started_at_ms == snapshot.started_at_ms:
             snapshot.restore(endpoint, shift_ms)
     directory.reference_capacity = max(directory.reference_capacity, state.reference_capacity)
     controller.selector.recent_sends = state.recent_sends
--- a/gateway/policy/state_transfer/snapshots.py
+++ b/gateway/policy/state_transfer/snapshots.py
@@ -162,7 +162,7 @@
     """The estimates of one endpoint; the fields are in the order of the row in JSON."""
 
     id: str
-    started_ms: float
+    started_at_ms: float
     latency_factor: float
     outcomes: dict[str, float]
     failures: dict[str, float]
@@ -175,7 +175,7 @@
         """Return the snapshot of an endpoint."""
         return cls(
             endpoint.entry.id,
-            endpoint.entry.started_ms,
+            endpoint.entry.started_at_ms,
             endpoint.latency_factor,
             endpoint.outcomes,
             endpoint.failures,
--- a/gateway/simulator/translation.py
+++ b/gateway/simulator/translation.py
@@ -33,7 +33,7 @@
         cell=message.read("pod", fields.integer),
         state=message.read("health", fields.state),
         weight=message.read("share", fields.number),
-        started_ms=message.read("onlineSinceMs", fields.number),
+        started_at_ms=message.read("onlineSinceMs", fields.number),
     )
 
 
--- a/tests/network/upstream/test_endpoint.py
+++ b/tests/network/upstream/test_endpoint.py
@@ -117,7 +117,10 @@
     [
         (ENTRY, True),
         (dataclasses.replace(ENTRY, endpoint=dataclasses.replace(ENTRY.endpoint, weight=2.0)), True),
-        (dataclasses.replace(ENTRY, endpoint=dataclasses.replace(ENTRY.endpoint, started_ms=2000.0)), False),
+        (
+            dataclasses.replace(ENTRY, endpoint=dataclasses.replace(ENTRY.endpoint, started_at_ms=2000.0)),
+            False,
+        ),
         (dataclasses.replace(ENTRY, address=("127.0.0.1", 5002)), False),
     ],
 )
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -58,7 +58,7 @@
         self.cold_start_ms = START_MS + LEAD_MS * known
         self.serial = 0
         before = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(ENDPOINTS)]
-        cold = [replace(endpoint, started_ms=self.cold_start_ms) for endpoint in before[warm:]]
+        cold = [replace(endpoint, started_at_ms=self.cold_start_ms) for endpoint in before[warm:]]
         after = [*before[:warm], *cold]
         self.sent_ms = {endpoint.id: [] for endpoint in cold}
         for n in self.controllers:
--- a/tests/support/simulated_endpoints.py
+++ b/tests/support/simulated_endpoints.py
@@ -46,8 +46,8 @@
         old = self.all[n]
         state = NEXT_STATE[old.state]
         is_ready = state is EndpointState.READY
-        started_ms = now if is_ready else old.started_ms
-        self.all[n] = Endpoint(old.id, old.zone, old.cell, state, 1.0, started_ms)
+        started_at_ms = now if is_ready else old.started_at_ms
+        self.all[n] = Endpoint(old.id, old.zone, old.cell, state, 1.0, started_at_ms)
         for withdrawn_ms in self.withdrawn_ms.values():
             if is_ready:
                 withdrawn_ms.pop(old.id, None)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -45,7 +45,7 @@
     )
     endpoint = received.entries[0].endpoint
     assert (received.index, received.is_snapshot, received.entries[0].address) == (41, False, (HOST, 5000))
-    assert (endpoint.id, endpoint.zone, endpoint.state, endpoint.started_ms) == (
+    assert (endpoint.id, endpoint.zone, endpoint.state, endpoint.started_at_ms) == (
         "w1",
         "a",
         EndpointState.DRAINING,
