--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -84,7 +84,7 @@
     plan_index: int
 
     @property
-    def bucket_name(self) -> int:
+    def bucket_id(self) -> int:
         """The name of the leader's bucket for the customer and the plan."""
         return self.customer_tag << _NIBBLE_BITS | self.plan_index
 
--- a/gateway/policy/quota/__init__.py
+++ b/gateway/policy/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas: local accounts, leases of the quota leader, and the leader's buckets."""
+"""Customers' quotas: the local accounts, the lease protocol, and the buckets of the quota leader."""
--- a/gateway/policy/quota/account.py
+++ b/gateway/policy/quota/account.py
@@ -1,4 +1,4 @@
-"""The account of one customer at this gateway, with its local buckets."""
+"""The account of one customer at this gateway: its local token buckets and its recent demand."""
 
 from __future__ import annotations
 
@@ -11,41 +11,44 @@
 from gateway.policy.quota.demand import DEMAND_MEMORY_MS, decayed_demand, demand_per_s
 from gateway.policy.quota.token_bucket import refilled_level
 
-LOCAL_BURST_FRACTION = 0.03  # fraction of a plan's burst that all local buckets hold together
-MAX_FLEET_DEMAND_AGE_MS = 2 * DEMAND_MEMORY_MS  # age beyond which a fleet demand is discarded
+# Fraction of a plan's burst that the local buckets of all gateways hold together.
+LOCAL_BURST_FRACTION = 0.03
+
+# Age, in milliseconds, at which the fleet's demand that a quota leader reported is no longer used.
+MAX_FLEET_DEMAND_AGE_MS = 2 * DEMAND_MEMORY_MS
 
 
 class AccountKey(NamedTuple):
     """The key of an account: the customer, its plan and its set of gateways.
 
-    Requests in one customer's name that differ in plan or set have separate accounts, so that a request with
-    wrong values does not affect the others.
+    Requests of one customer that name different plans or sets of gateways use separate accounts. A request
+    with a wrong plan or set therefore does not change the account of the correct requests.
     """
 
     customer: str
     plan: str
-    spread: int
-    first_gateway: int
+    spread: int  # number of gateways in the customer's set
+    first_gateway: int  # number of the first gateway in the set
 
 
 @dataclass(slots=True, eq=False)
 class CustomerAccount:
-    """One customer at this gateway: its local buckets, and the last reply of its quota leader."""
+    """One customer's local buckets and demand, and the demand that its quota leader last reported."""
 
     plan: Plan
-    customer_tag: int
+    customer_tag: int  # hash of the customer's name, as in quota entries
     spread: int  # number of gateways in the customer's set
     leader: int  # number of the gateway that is the customer's quota leader
-    refilled_at_ms: float
-    quota_level: float = 0.0  # units in the local bucket; negative after an optimistic admission
-    ceiling_level: float = 0.0  # units in this gateway's fraction of the ceiling
-    demand: float = 0.0  # decaying sum of units requested at this gateway
-    fleet_demand_per_s: float = 0.0  # units per second requested at all gateways; 0 where unknown
-    fleet_demand_at_ms: float = NEVER_MS  # when the leader last reported the fleet's demand
-    in_flight: int = 0  # requests that are admitted and have not ended
+    refilled_at_ms: float  # time up to which the buckets and the demand are updated
+    quota_level: float = 0.0  # units in the local bucket; negative after an admission without enough units
+    ceiling_level: float = 0.0  # units in the bucket for this gateway's fraction of the ceiling
+    demand: float = 0.0  # exponentially decaying sum of the units requested at this gateway
+    fleet_demand_per_s: float = 0.0  # units per second requested at all gateways; 0 if unknown
+    fleet_demand_at_ms: float = NEVER_MS  # when the leader last reported `fleet_demand_per_s`
+    in_flight: int = 0  # admitted requests that have not ended
 
     def refill(self, now_ms: float) -> None:
-        """Update the demand and both buckets for the time since the last refill."""
+        """Update the demand and both buckets to `now_ms`, and discard an outdated demand of the fleet."""
         elapsed_s = self._elapsed_s(now_ms)
         self.refilled_at_ms = now_ms
         self.demand = decayed_demand(self.demand, elapsed_s)
@@ -68,7 +71,10 @@
         )
 
     def is_replaceable(self, now_ms: float) -> bool:
-        """Return whether a new account would hold no more units: no debt, and a full ceiling."""
+        """Return whether a new account may replace this one without granting units twice.
+
+        This holds if the local bucket is not in debt and the ceiling's bucket, if there is one, is full.
+        """
         plan = self.plan
         elapsed_s = self._elapsed_s(now_ms)
         if refilled_level(self.quota_level, plan.rate_per_s / self.spread, elapsed_s) < 0:
@@ -83,7 +89,7 @@
         return (now_ms - self.refilled_at_ms) / 1000
 
     def _demand_fraction(self) -> float:
-        """Return this gateway's fraction of the fleet's demand; an even one where that is unknown."""
+        """Return this gateway's fraction of the fleet's demand; an even split if that is unknown."""
         if not self.fleet_demand_per_s:
             return 1 / self.spread
         return min(1.0, demand_per_s(self.demand) / self.fleet_demand_per_s)
--- a/gateway/policy/quota/accounts.py
+++ b/gateway/policy/quota/accounts.py
@@ -1,8 +1,10 @@
-"""The accounts of all customers at this gateway, whose local buckets admit requests without any message.
+"""The accounts of all customers that have sent requests to this gateway.
 
-A customer's local bucket fills at its quota times this gateway's fraction of the customer's recent demand. In
-a wide set of gateways that fraction holds less than one request. In a departure from the paper, one gateway
-of the set is therefore the customer's quota leader, and keeps the bucket from which all gateways get leases.
+The local bucket of an account admits requests without a message to another gateway. It fills at the rate of
+the customer's quota times this gateway's fraction of the customer's recent demand. If the customer's set of
+gateways is large, that fraction of the burst is less than one request. In a
+departure from the paper, one gateway of the set is therefore the customer's quota leader. The leader keeps a
+bucket for the customer, from which it leases units to all gateways.
 """
 
 from collections.abc import Iterable
@@ -15,18 +17,19 @@
 from gateway.policy.quota.ceiling import LOCAL_CEILING_FRACTION, initial_ceiling_level
 from gateway.policy.requests.request_record import RequestRecord
 
-IDLE_RETENTION_MS = 8000.0  # minimum time without a request before a full account is dropped
+# Minimum time without a request, in milliseconds, before an account or a leader's bucket may be dropped.
+IDLE_RETENTION_MS = 8000.0
 
 
 class QuotaAccounts(PolicyComponent):
-    """The accounts of the customers that have sent requests to this gateway."""
+    """The accounts at this gateway, by customer, plan and set of gateways."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
         self.by_key: dict[AccountKey, CustomerAccount] = {}
 
     def refilled_account(self, arrival: RequestArrived, plan: Plan) -> CustomerAccount:
-        """Return the account of a request's customer, with its buckets refilled."""
+        """Return the account of a request's customer, refilled; the first request adds the account."""
         key = AccountKey(arrival.customer, plan.name, arrival.spread, arrival.first_gateway)
         account = self.by_key.get(key)
         if account is None:
@@ -36,7 +39,11 @@
         return account
 
     def create(self, key: AccountKey, plan: Plan) -> CustomerAccount:
-        """Return a new account, whose ceiling holds the units that cannot have been used yet."""
+        """Return a new account, which the caller adds to `by_key`.
+
+        Its ceiling's bucket holds only the units that have accrued since the gateway started, because all
+        earlier units may have been used before.
+        """
         gateways = self._settings.gateways
         spread = max(1, min(key.spread, gateways))
         tag = customer_tag(key.customer)
@@ -47,11 +54,15 @@
         return account
 
     def drop_idle_accounts(self, open_requests: Iterable[RequestRecord]) -> None:
-        """Drop unused accounts that new ones would replace without granting a quota twice."""
+        """Drop accounts without open requests that a new account can replace.
+
+        An account that is in debt or whose ceiling is not full stays: a new account would grant the missing
+        units again.
+        """
         open_accounts = {id(request.account) for request in open_requests}
         now_ms = self._turn.now_ms
         for key, account in list(self.by_key.items()):
-            is_used = id(account) in open_accounts or account.in_flight
-            is_old = now_ms - account.refilled_at_ms > IDLE_RETENTION_MS
-            if is_old and not is_used and account.is_replaceable(now_ms):
+            is_in_use = id(account) in open_accounts or account.in_flight
+            is_idle = now_ms - account.refilled_at_ms > IDLE_RETENTION_MS
+            if is_idle and not is_in_use and account.is_replaceable(now_ms):
                 del self.by_key[key]
--- a/gateway/policy/quota/ceiling.py
+++ b/gateway/policy/quota/ceiling.py
@@ -1,20 +1,25 @@
 """The division of a plan's ceiling between the quota leader and the local buckets of all gateways.
 
-A ceiling is a limit that must never be exceeded. Each holder has a token bucket with its fraction of the
-ceiling, so that the fractions together stay below it without any message.
+A ceiling is a limit on a customer's rate that must never be exceeded. The quota leader and each gateway have
+a token bucket with a fixed fraction of the ceiling. The fractions add up to at most 1, so the ceiling holds
+without any message between the gateways.
 """
 
 from __future__ import annotations
 
 from gateway.interface.settings import Plan
 
-LEADER_CEILING_FRACTION = 0.75  # fraction of a ceiling that the quota leader may grant
-LOCAL_CEILING_FRACTION = 1 - LEADER_CEILING_FRACTION  # fraction that is split evenly over the gateways
+# Fraction of a ceiling that the quota leader may grant.
+LEADER_CEILING_FRACTION = 0.75
+
+# Fraction of a ceiling that all local buckets may admit together, in equal parts.
+LOCAL_CEILING_FRACTION = 1 - LEADER_CEILING_FRACTION
 
 
 def initial_ceiling_level(gateway_age_ms: float, plan: Plan) -> float:
-    """Return the level of an undivided ceiling for a customer that has no bucket yet.
+    """Return the initial level of a whole ceiling, of which each new bucket gets its fraction.
 
-    Ceilings are empty when the gateway starts, so that a restart grants nothing twice, and fill from then on.
+    The ceiling counts as empty when the gateway starts, and fills from then on: a full one would grant again
+    what was granted before a restart.
     """
     return min(plan.ceiling_burst, plan.ceiling_per_s * gateway_age_ms / 1000)
--- a/gateway/policy/quota/demand.py
+++ b/gateway/policy/quota/demand.py
@@ -1,17 +1,18 @@
-"""The demand of a customer: a decaying sum of the units that its requests need."""
+"""The demand of a customer: the exponentially decaying sum of the units that its requests need."""
 
 from __future__ import annotations
 
 from gateway.policy.decay import decay
 
-DEMAND_MEMORY_MS = 3000.0  # time constant of the moving average of a customer's demand
+# Time constant, in milliseconds, with which the units of earlier requests decay in a customer's demand.
+DEMAND_MEMORY_MS = 3000.0
 
 
 def decayed_demand(demand: float, elapsed_s: float) -> float:
-    """Return what remains of a demand after `elapsed_s`."""
+    """Return the part of a demand that remains after `elapsed_s` seconds without requests."""
     return demand * decay(elapsed_s * 1000, DEMAND_MEMORY_MS)
 
 
 def demand_per_s(demand: float) -> float:
-    """Return the rate, in units per second, that corresponds to a demand."""
+    """Return the constant rate, in units per second, that would sustain a demand."""
     return demand * 1000 / DEMAND_MEMORY_MS
--- a/gateway/policy/quota/entry_sender.py
+++ b/gateway/policy/quota/entry_sender.py
@@ -1,4 +1,4 @@
-"""The interface by which the quota components send entries to gateways."""
+"""The callback through which the quota components send entries to gateways."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class EntrySender(Protocol):
-    """Sends a quota entry to a gateway, which may be this one."""
+    """Callback that sends a quota entry to a gateway, which may be this gateway."""
 
     def __call__(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
-        """Send an entry; an incarnation selects one of the gateway's processes during a hot restart."""
+        """Send an entry to a gateway.
+
+        During a hot restart this gateway has two processes; an entry to this gateway with an `incarnation`
+        goes to the process with that incarnation.
+        """
--- a/gateway/policy/quota/leader.py
+++ b/gateway/policy/quota/leader.py
@@ -1,4 +1,4 @@
-"""The quota leader: the buckets of the customers that this gateway leads, and their leases."""
+"""The quota leader of customers: it keeps their buckets and leases units from them to all gateways."""
 
 import math
 
@@ -12,25 +12,35 @@
 from gateway.policy.quota.leader_bucket import LeaderBucket, LeaseKey, LeaseRequest
 from gateway.policy.timers import TimerKind
 
-MAX_RESERVED_BURST_FRACTION = 0.8  # fraction of the burst withheld from requests with weight 0
-SLOT_LIFETIME_OBJECTIVES = 1.5  # latency objectives after which a slot that was never returned expires
-GRANT_MEMORY_MS = 5000.0  # time for which grants are remembered to detect duplicate requests
-MIN_REMEMBERED_GRANTS = 64  # grants that are remembered regardless of their age
+# Fraction of a quota's burst that a request with priority weight 0 leaves for requests with more weight.
+# The fraction falls linearly with the weight, to 0 for the highest weight of all classes.
+MAX_RESERVED_BURST_FRACTION = 0.8
+
+# Time after which a slot of a quota in flight is free again though no gateway has returned it, as a multiple
+# of the latency objective of the request's class.
+SLOT_LIFETIME_OBJECTIVES = 1.5
+
+# Time, in milliseconds, for which a grant is remembered. A repeated lease request within that time gets the
+# same grant again and draws no more units.
+GRANT_MEMORY_MS = 5000.0
+
+# Number of remembered grants up to which a bucket forgets none, whatever their age.
+MIN_REMEMBERED_GRANTS = 64
 
 
 class QuotaLeader(PolicyComponent):
-    """Leases units of customers' quotas to all gateways, to the highest priority weight first."""
+    """Grants lease requests from customers' quotas to all gateways, by descending priority weight."""
 
     def __init__(self, context: PolicyContext, send: EntrySender) -> None:
         super().__init__(context)
         self._send = send
         weights = [request_class.priority_weight for request_class in context.settings.classes]
         self._max_priority_weight = max(weights) or 1.0
-        self.buckets: dict[int, LeaderBucket] = {}
+        self.buckets: dict[int, LeaderBucket] = {}  # by LeaderBucket.id
 
     def on_entry(self, key: LeaseKey, entry: QuotaEntry) -> None:
-        """Handle an entry that a gateway has sent about one of its requests."""
-        bucket = self.buckets.get(entry.bucket_name) or self._create(entry)
+        """Handle a gateway's entry about one of its requests; the first one for a quota adds the bucket."""
+        bucket = self.buckets.get(entry.bucket_id) or self._create_bucket(entry)
         match entry.kind:
             case EntryKind.REQUEST | EntryKind.RETRY_REQUEST:
                 self._on_request(bucket, key, entry)
@@ -39,22 +49,25 @@
             case EntryKind.RETURN:
                 self._on_return(bucket, key, entry)
 
-    def on_timer(self, name: int) -> None:
-        """Serve the queue of a bucket at the time that was scheduled."""
-        if name in self.buckets:
-            self.buckets[name].serve_at_ms = math.inf
-            self.serve(self.buckets[name])
+    def on_timer(self, bucket_id: int) -> None:
+        """Serve the queue of a bucket, if it still exists, when its scheduled service is due."""
+        if bucket_id in self.buckets:
+            self.buckets[bucket_id].serve_at_ms = math.inf
+            self.serve_queue(self.buckets[bucket_id])
+
+    def serve_queue(self, bucket: LeaderBucket) -> None:
+        """Grant queued lease requests until the first one that has to wait, and schedule the next service.
 
-    def serve(self, bucket: LeaderBucket) -> None:
-        """Grant queued lease requests: the highest weight first, the newest first among equal weights."""
+        The highest priority weight comes first, and among equal weights the request received last.
+        """
         bucket.refill(self._turn.now_ms)
-        bucket.drop_expired(self._turn.now_ms)
+        bucket.remove_expired(self._turn.now_ms)
         bucket.queue.sort(key=lambda queued: (queued.priority_weight, queued.received_at_ms))
         while bucket.queue:
             first = bucket.queue[-1]
             wait_s = self._wait_s(bucket, first)
             if wait_s > 0:
-                self._serve_later(bucket, wait_s)
+                self._schedule_service(bucket, wait_s)
                 return
             bucket.queue.pop()
             self._record_grant(bucket, first.key, first.entry)
@@ -62,30 +75,35 @@
             self._reply(EntryKind.GRANT, first.key, first.entry, bucket)
 
     def drop_idle_buckets(self) -> None:
-        """Drop buckets that new ones would replace without granting a quota twice."""
-        now_ms = self._turn.now_ms
-        for name, bucket in list(self.buckets.items()):
-            is_old = now_ms - bucket.refilled_at_ms > IDLE_RETENTION_MS
-            if is_old and bucket.is_replaceable(now_ms):
-                del self.buckets[name]
+        """Drop buckets without recent requests that a new bucket can replace.
 
-    def _create(self, entry: QuotaEntry) -> LeaderBucket:
-        """Add a bucket, whose ceiling holds the units that cannot have been used yet.
-
-        Units that an earlier leader granted came from the quota's bucket, which fills no faster than the
-        ceiling. At most that bucket's burst can therefore be missing from the ceiling.
+        A bucket that is not full stays: a new one would grant the missing units again.
+        """
+        now_ms = self._turn.now_ms
+        for bucket_id, bucket in list(self.buckets.items()):
+            is_idle = now_ms - bucket.refilled_at_ms > IDLE_RETENTION_MS
+            if is_idle and bucket.is_replaceable(now_ms):
+                del self.buckets[bucket_id]
+
+    def _create_bucket(self, entry: QuotaEntry) -> LeaderBucket:
+        """Add the bucket of an entry's customer and plan, with a full quota.
+
+        Its ceiling holds only units that an earlier leader process cannot have granted. With a quota on the
+        rate, that process granted units of the quota only, which fills no faster than the ceiling. The
+        ceiling can therefore lack at most the quota's burst. Without such a quota, all units that accrued
+        before the gateway started may be missing.
         """
         plan = self._settings.plans[entry.plan_index]
         capacity = plan.ceiling_burst * LEADER_CEILING_FRACTION
-        guaranteed = max(0.0, capacity - plan.burst) if plan.rate_per_s else 0.0
-        filled = initial_ceiling_level(self._turn.now_ms - self._role.started_at_ms, plan)
-        ceiling_level = min(capacity, guaranteed + filled * LEADER_CEILING_FRACTION)
-        bucket = LeaderBucket(entry.bucket_name, plan, plan.burst, self._turn.now_ms, ceiling_level)
-        self.buckets[bucket.name] = bucket
+        unspent = max(0.0, capacity - plan.burst) if plan.rate_per_s else 0.0
+        accrued = initial_ceiling_level(self._turn.now_ms - self._role.started_at_ms, plan)
+        ceiling_level = min(capacity, unspent + accrued * LEADER_CEILING_FRACTION)
+        bucket = LeaderBucket(entry.bucket_id, plan, plan.burst, self._turn.now_ms, ceiling_level)
+        self.buckets[bucket.id] = bucket
         return bucket
 
     def _on_request(self, bucket: LeaderBucket, key: LeaseKey, entry: QuotaEntry) -> None:
-        if key in bucket.granted:  # the first reply was lost
+        if key in bucket.grant_times_ms:  # the earlier reply was lost, or the request is a duplicate
             self._reply(EntryKind.GRANT, key, entry, bucket)
             return
         if bucket.is_queued(key):
@@ -93,69 +111,77 @@
         bucket.demand += entry.units
         lease_request = self._lease_request(key, entry)
         bucket.queue.append(lease_request)
-        self.serve(bucket)
+        self.serve_queue(bucket)
         if lease_request in bucket.queue:
             self._reply(EntryKind.QUEUED, key, entry, bucket)
 
     def _lease_request(self, key: LeaseKey, entry: QuotaEntry) -> LeaseRequest:
         request_class = self._settings.classes[entry.class_index]
-        # Most of the objective of a client's retry has passed already, so it has no weight.
+        # A client sends a retry when most of its latency objective has passed, so the retry gets weight 0.
         weight = request_class.priority_weight if entry.kind is EntryKind.REQUEST else 0.0
         now_ms = self._turn.now_ms
         return LeaseRequest(key, entry, weight, now_ms, now_ms + max_wait_ms(request_class))
 
     def _on_used(self, bucket: LeaderBucket, key: LeaseKey, entry: QuotaEntry) -> None:
-        if key in bucket.granted:
+        if key in bucket.grant_times_ms:
             return
         if not bucket.is_queued(key):
             bucket.demand += entry.units
-        bucket.drop_queued(key)
+        bucket.remove_request(key)
         self._record_grant(bucket, key, entry)
 
     def _on_return(self, bucket: LeaderBucket, key: LeaseKey, entry: QuotaEntry) -> None:
-        had_slot = bucket.slots.pop(key, None) is not None
-        if not had_slot and key in bucket.granted and not bucket.plan.max_in_flight:
-            bucket.level = min(bucket.plan.burst, bucket.level + entry.units)
-        self.serve(bucket)
+        had_slot = bucket.slot_expiries_ms.pop(key, None) is not None
+        if not had_slot and key in bucket.grant_times_ms and not bucket.plan.max_in_flight:
+            bucket.quota_level = min(bucket.plan.burst, bucket.quota_level + entry.units)
+        self.serve_queue(bucket)
 
     def _wait_s(self, bucket: LeaderBucket, queued: LeaseRequest) -> float:
-        """Return the time until a bucket can grant a lease request; 0 or less where it can do so now."""
+        """Return the seconds until a bucket can grant a lease request; 0 or less if it can do so now."""
         plan = bucket.plan
         units = queued.entry.units
         wait_s = 0.0
         if plan.rate_per_s:
-            wait_s = (units + self._reserve(bucket, queued) - bucket.level) / plan.rate_per_s
+            wait_s = (units + self._reserve(bucket, queued) - bucket.quota_level) / plan.rate_per_s
         if plan.ceiling_per_s:
             ceiling_per_s = plan.ceiling_per_s * LEADER_CEILING_FRACTION
             wait_s = max(wait_s, (units - bucket.ceiling_level) / ceiling_per_s)
-        if plan.max_in_flight and len(bucket.slots) >= plan.max_in_flight:
-            wait_s = max(wait_s, (min(bucket.slots.values()) - self._turn.now_ms) / 1000)
+        if plan.max_in_flight and len(bucket.slot_expiries_ms) >= plan.max_in_flight:
+            wait_s = max(wait_s, (min(bucket.slot_expiries_ms.values()) - self._turn.now_ms) / 1000)
         return wait_s
 
     def _reserve(self, bucket: LeaderBucket, queued: LeaseRequest) -> float:
-        """Return the units that stay in the bucket for requests with more weight; none in a full bucket."""
+        """Return the units that have to stay in the bucket after a grant, for requests with more weight.
+
+        The reserve leaves room for the request's own units, so that a full bucket serves any request.
+        """
         burst = bucket.plan.burst
         relative_weight = queued.priority_weight / self._max_priority_weight
         reserve = MAX_RESERVED_BURST_FRACTION * burst * (1 - relative_weight)
         return max(0.0, min(reserve, burst - queued.entry.units))
 
-    def _serve_later(self, bucket: LeaderBucket, wait_s: float) -> None:
-        """Schedule the next service of a queue whose head has to wait."""
+    def _schedule_service(self, bucket: LeaderBucket, wait_s: float) -> None:
+        """Schedule the next service of a queue whose first request has to wait for `wait_s` seconds.
+
+        A service that is already scheduled stays if it is at most one period later than needed.
+        """
         ready_at_ms = self._turn.now_ms + wait_s * 1000
         if bucket.plan.rate_per_s and not bucket.plan.max_in_flight:
             self._deny_unreachable(bucket)
         is_scheduled = self._turn.now_ms < bucket.serve_at_ms <= ready_at_ms + PERIOD_MS
         if bucket.queue and not is_scheduled:
             bucket.serve_at_ms = ready_at_ms + self._settings.tick_ms
-            self._schedule(bucket.serve_at_ms, TimerKind.LEADER_SERVE, bucket.name)
+            self._schedule(bucket.serve_at_ms, TimerKind.LEADER_SERVE, bucket.id)
 
     def _deny_unreachable(self, bucket: LeaderBucket) -> None:
-        """Deny lease requests that would expire before their turn, so that their clients stop waiting."""
+        """Deny lease requests that would expire before their grant, so that their clients stop waiting."""
         units_ahead = 0.0
         reachable: list[LeaseRequest] = []
         for queued in reversed(bucket.queue):
-            missing = units_ahead + queued.entry.units + self._reserve(bucket, queued) - bucket.level
-            wait_s = missing / bucket.plan.rate_per_s
+            missing_units = (
+                units_ahead + queued.entry.units + self._reserve(bucket, queued) - bucket.quota_level
+            )
+            wait_s = missing_units / bucket.plan.rate_per_s
             if self._turn.now_ms + wait_s * 1000 > queued.expires_at_ms:
                 self._reply(EntryKind.DENY, queued.key, queued.entry, bucket)
             else:
@@ -164,16 +190,19 @@
         bucket.queue = reachable[::-1]
 
     def _record_grant(self, bucket: LeaderBucket, key: LeaseKey, entry: QuotaEntry) -> None:
-        """Subtract a request's units from the quota; under a quota in flight, the request occupies a slot."""
+        """Remember a grant and subtract its units from the quota, whose debt is at most its burst.
+
+        Under a quota in flight, the request also occupies a slot.
+        """
         now_ms = self._turn.now_ms
-        has_many = len(bucket.granted) > MIN_REMEMBERED_GRANTS
-        if has_many and now_ms - bucket.oldest_grant_ms() > GRANT_MEMORY_MS:
-            bucket.drop_grants(now_ms, GRANT_MEMORY_MS)
-        bucket.granted[key] = now_ms
-        bucket.level = max(-bucket.plan.burst, bucket.level - entry.units)
+        has_surplus_grants = len(bucket.grant_times_ms) > MIN_REMEMBERED_GRANTS
+        if has_surplus_grants and now_ms - bucket.oldest_grant_at_ms() > GRANT_MEMORY_MS:
+            bucket.forget_grants(now_ms, GRANT_MEMORY_MS)
+        bucket.grant_times_ms[key] = now_ms
+        bucket.quota_level = max(-bucket.plan.burst, bucket.quota_level - entry.units)
         if bucket.plan.max_in_flight:
             objective_ms = self._settings.classes[entry.class_index].latency_objective_ms
-            bucket.slots[key] = now_ms + SLOT_LIFETIME_OBJECTIVES * objective_ms
+            bucket.slot_expiries_ms[key] = now_ms + SLOT_LIFETIME_OBJECTIVES * objective_ms
 
     def _reply(self, kind: EntryKind, key: LeaseKey, entry: QuotaEntry, bucket: LeaderBucket) -> None:
         reply = entry._replace(kind=kind, demand_per_s=demand_per_s(bucket.demand))
--- a/gateway/policy/quota/leader_bucket.py
+++ b/gateway/policy/quota/leader_bucket.py
@@ -1,4 +1,4 @@
-"""One customer's bucket at its quota leader, with the lease requests that are queued for it."""
+"""The bucket that a quota leader keeps for one customer and plan, with its queued lease requests."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class LeaseKey(NamedTuple):
-    """The key of a lease at its leader: the requesting gateway, its incarnation, and its lease id."""
+    """The key of a lease at its leader: the requesting gateway and process, and the lease id there."""
 
     gateway: int
-    incarnation: int
+    incarnation: int  # of the requesting process
     lease_id: int
 
 
@@ -26,67 +26,79 @@
     """A lease request that is queued at its customer's quota leader."""
 
     key: LeaseKey
-    entry: QuotaEntry
+    entry: QuotaEntry  # the entry that requested the lease
     priority_weight: float
     received_at_ms: float
-    expires_at_ms: float
+    expires_at_ms: float  # from then on a grant would leave too little time for the response
 
 
 @dataclass(slots=True, eq=False)
 class LeaderBucket:
-    """One customer's quota at its leader."""
+    """One customer's quota at its leader: the units left, and the leases requested and granted."""
 
-    name: int  # identifies the customer and its plan, as in QuotaEntry.bucket_name
+    id: int  # identifies the customer and its plan, as QuotaEntry.bucket_id does
     plan: Plan
-    level: float  # units that the quota holds; negative after admissions without a grant
-    refilled_at_ms: float
-    ceiling_level: float = 0.0  # units in the leader's fraction of the ceiling
-    demand: float = 0.0  # decaying sum of units requested by all gateways
+    quota_level: float  # units left in the quota; negative if gateways admitted more without a grant
+    refilled_at_ms: float  # time up to which the levels and the demand are updated
+    ceiling_level: float = 0.0  # units left in the leader's fraction of the ceiling
+    demand: float = 0.0  # exponentially decaying sum of the units requested by all gateways
     queue: list[LeaseRequest] = field(default_factory=list)
-    slots: dict[LeaseKey, float] = field(default_factory=dict)  # requests in flight, with their expiry times
-    granted: dict[LeaseKey, float] = field(default_factory=dict)  # leases granted or used, with their times
-    serve_at_ms: float = math.inf  # when the queue is served next; inf where that is not scheduled
+    slot_expiries_ms: dict[LeaseKey, float] = field(default_factory=dict)  # by lease, under a quota in flight
+    grant_times_ms: dict[LeaseKey, float] = field(default_factory=dict)  # grants and uses, by lease
+    serve_at_ms: float = math.inf  # time of the scheduled service of the queue; inf if there is none
 
     def refill(self, now_ms: float) -> None:
-        """Update the demand, the quota and the ceiling for the time since the last refill."""
+        """Update the demand, the quota and the ceiling to `now_ms`."""
         plan = self.plan
         elapsed_s = self._elapsed_s(now_ms)
         self.refilled_at_ms = now_ms
         self.demand = decayed_demand(self.demand, elapsed_s)
-        self.level = refilled_level(self.level, plan.rate_per_s, elapsed_s, plan.burst)
+        self.quota_level = refilled_level(self.quota_level, plan.rate_per_s, elapsed_s, plan.burst)
         self.ceiling_level = self._refilled_ceiling(elapsed_s)
 
     def is_replaceable(self, now_ms: float) -> bool:
-        """Return whether a new bucket would hold no more: this one is full, with no lease outstanding."""
+        """Return whether a new bucket may replace this one without granting units twice.
+
+        This holds if the quota and the ceiling are full, nothing is queued or scheduled, and no slot is
+        occupied.
+        """
         plan = self.plan
         elapsed_s = self._elapsed_s(now_ms)
-        if self.queue or self.serve_at_ms != math.inf or any(until > now_ms for until in self.slots.values()):
+        if (
+            self.queue
+            or self.serve_at_ms != math.inf
+            or any(until > now_ms for until in self.slot_expiries_ms.values())
+        ):
             return False
-        if refilled_level(self.level, plan.rate_per_s, elapsed_s, plan.burst) < plan.burst:
+        if refilled_level(self.quota_level, plan.rate_per_s, elapsed_s, plan.burst) < plan.burst:
             return False
         return not plan.ceiling_per_s or self._refilled_ceiling(elapsed_s) >= self._ceiling_capacity()
 
     def is_queued(self, key: LeaseKey) -> bool:
-        """Return whether a lease request is in the queue."""
+        """Return whether the queue contains a lease request with this key."""
         return any(queued.key == key for queued in self.queue)
 
-    def drop_queued(self, key: LeaseKey) -> None:
-        """Remove a lease request from the queue, if it is there."""
+    def remove_request(self, key: LeaseKey) -> None:
+        """Remove the lease request with this key from the queue, if it is there."""
         self.queue = [queued for queued in self.queue if queued.key != key]
 
-    def drop_expired(self, now_ms: float) -> None:
-        """Remove the lease requests and the slots that have expired."""
+    def remove_expired(self, now_ms: float) -> None:
+        """Remove the queued lease requests and the slots that have expired by `now_ms`."""
         self.queue = [queued for queued in self.queue if queued.expires_at_ms > now_ms]
-        if self.slots:
-            self.slots = {key: until_ms for key, until_ms in self.slots.items() if until_ms > now_ms}
-
-    def oldest_grant_ms(self) -> float:
-        """Return the time of the oldest grant that is remembered."""
-        return next(iter(self.granted.values()))
-
-    def drop_grants(self, now_ms: float, max_age_ms: float) -> None:
-        """Drop the grants that are older than `max_age_ms`."""
-        self.granted = {key: at_ms for key, at_ms in self.granted.items() if now_ms - at_ms <= max_age_ms}
+        if self.slot_expiries_ms:
+            self.slot_expiries_ms = {
+                key: until_ms for key, until_ms in self.slot_expiries_ms.items() if until_ms > now_ms
+            }
+
+    def oldest_grant_at_ms(self) -> float:
+        """Return the time of the oldest remembered grant; there has to be one."""
+        return next(iter(self.grant_times_ms.values()))
+
+    def forget_grants(self, now_ms: float, max_age_ms: float) -> None:
+        """Forget the grants that are older than `max_age_ms`."""
+        self.grant_times_ms = {
+            key: at_ms for key, at_ms in self.grant_times_ms.items() if now_ms - at_ms <= max_age_ms
+        }
 
     def _elapsed_s(self, now_ms: float) -> float:
         return (now_ms - self.refilled_at_ms) / 1000
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -1,4 +1,4 @@
-"""Admission by quota: from the local bucket, by a lease of the customer's quota leader, or optimistically."""
+"""Admission by quota: from the local bucket, by a lease from the quota leader, or optimistically."""
 
 from typing import Protocol
 
@@ -12,49 +12,67 @@
 from gateway.policy.requests.request_record import RequestRecord
 from gateway.policy.timers import TimerKind
 
-INITIAL_REPLY_MS = 60.0  # expected reply time of a leader before its first reply
-OVERDUE_FACTOR = 2.5  # multiple of the expected reply time after which a reply is overdue
-MIN_OVERDUE_MS = 30.0  # minimum time after which a reply is overdue
-MISSED_REPLY_FACTOR = 2.0  # multiple of the time waited that a missing reply is assumed to take
-CUSTOMER_INBOX_FRACTION = 0.5  # fraction of a leader's inbox that the requests of one customer may fill
-CUSTOMER_QUOTA_FACTOR = 2.0  # multiple of a customer's quota that may be requested beyond that fraction
-MAX_LEASE_REQUESTS = 2  # lease requests sent for one request before its leader counts as silent
-SILENT_LEADER_RETRY_MS = 250.0  # interval at which a request with a silent leader retries the local bucket
+# Expected time, in milliseconds, from a lease request to its reply, until the first reply is received.
+INITIAL_EXPECTED_REPLY_MS = 60.0
+
+# A reply is overdue after this multiple of the expected reply time, and after this minimum in milliseconds.
+OVERDUE_FACTOR = 2.5
+MIN_OVERDUE_MS = 30.0
+
+# If a request ends before its leader's reply, the reply counts as having taken this multiple of the request's
+# time in the gateway.
+MISSED_REPLY_FACTOR = 2.0
+
+# The lease requests of one customer may fill this fraction of its leader's gossip inbox, or arrive at this
+# multiple of the rate of the customer's quota, whichever is more.
+CUSTOMER_INBOX_FRACTION = 0.5
+CUSTOMER_QUOTA_FACTOR = 2.0
+
+# Number of lease requests sent for one request before the leader counts as silent.
+MAX_LEASE_REQUESTS = 2
+
+# Interval, in milliseconds, at which a request whose leader is silent tries the local bucket again.
+SILENT_LEADER_RETRY_MS = 250.0
 
 
 class QuotaListener(Protocol):
-    """Receives the verdicts of quota leaders on requests."""
+    """Receives the replies of quota leaders to lease requests."""
 
     def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
-        """Handle the leader's verdict on a request: GRANT, QUEUED or DENY."""
+        """Handle the leader's reply about a request: GRANT, QUEUED or DENY."""
 
 
 class LeaseClient(PolicyComponent):
     """Admits requests from the local buckets and by leases of the quota leaders.
 
-    While a customer's leader is silent, its requests are admitted optimistically, one at a time: the local
-    bucket goes into debt.
+    While a customer's leader is silent, requests are admitted optimistically: each admission puts the local
+    bucket into debt, and the next one has to wait until the bucket has refilled.
     """
 
     def __init__(self, context: PolicyContext, listener: QuotaListener, send: EntrySender) -> None:
         super().__init__(context)
         self.accounts = QuotaAccounts(context)
         self.leases = LeaseTable(context.settings)
-        self.reply_ms = INITIAL_REPLY_MS  # expected reply time of a leader
+        self.expected_reply_ms = INITIAL_EXPECTED_REPLY_MS  # expected time from a lease request to its reply
         self._listener = listener
         self._send = send
-        self._silent_leaders: set[int] = set()  # gateways that left lease requests without a reply
+        # Gateways whose replies were overdue and that have sent no datagram since.
+        self._silent_leaders: set[int] = set()
 
     def admit(self, request: RequestRecord, max_wait_ms: float) -> bool:
-        """Return whether a request, which can wait for `max_wait_ms`, is admitted at once.
+        """Admit a request from the local bucket, or request a lease; return whether it is admitted now.
 
-        Where the local bucket lacks units, the leader is sent a lease request. If its reply would come too
-        late, the local bucket admits the request without the units.
+        Only a plan with a quota on the rate and none in flight is served from the local bucket here. If the
+        leader's reply is expected later than `max_wait_ms`, the bucket need not hold enough units, but must
+        not be in debt. If the request is not admitted now, the listener receives the leader's reply later, or
+        a DENY during this call if the customer sends more lease requests than the leader's inbox permits.
         """
         account = request.account
         plan = request.plan
-        is_too_late = self.reply_ms > max_wait_ms and account.leader != self._settings.gateway_number
-        needed_units = 0.0 if is_too_late else request.arrival.units
+        is_reply_too_late = (
+            self.expected_reply_ms > max_wait_ms and account.leader != self._settings.gateway_number
+        )
+        needed_units = 0.0 if is_reply_too_late else request.arrival.units
         has_only_rate_quota = plan.rate_per_s and not plan.max_in_flight
         if has_only_rate_quota and needed_units <= account.quota_level and self._admit_locally(request):
             return True
@@ -65,16 +83,17 @@
         return False
 
     def on_reply_overdue(self, request: RequestRecord, *, is_last: bool = False) -> bool:
-        """Return whether a request whose leader has not replied is admitted now.
+        """Handle an overdue reply; return whether the request is admitted optimistically.
 
-        The first time, the lease request is sent again. After that, or where the request cannot wait any
-        longer (`is_last`), it is admitted optimistically if the local bucket is not in debt.
+        The first overdue reply repeats the lease request. After that, or if the request cannot wait any
+        longer (`is_last`), the leader counts as silent. The request is then admitted if the local bucket is
+        not in debt and, under a quota in flight, if the customer has no other request in flight here.
         """
         if request.leader_replied:
-            return False  # it is queued at its leader
+            return False  # the request is queued at its leader
         account = self.accounts.refilled_account(request.arrival, request.plan)
-        may_retry = request.lease_requests < MAX_LEASE_REQUESTS and not is_last
-        if may_retry and account.leader not in self._silent_leaders:
+        may_repeat = request.lease_requests < MAX_LEASE_REQUESTS and not is_last
+        if may_repeat and account.leader not in self._silent_leaders:
             self._request_lease(request)
             return False
         self._silent_leaders.add(account.leader)
@@ -84,21 +103,25 @@
         return self._admit_locally(request)
 
     def mark_responsive(self, gateway: int) -> None:
-        """Record that a gateway is not silent."""
+        """Stop treating a gateway as a silent leader, because a datagram from it has arrived."""
         self._silent_leaders.discard(gateway)
 
     def on_reply(self, sender: int, entry: QuotaEntry) -> None:
-        """Handle a leader's reply."""
-        request = self.leases.find(sender, entry)
+        """Handle a leader's reply, and pass it to the listener.
+
+        The reply also updates the fleet's demand and the expected reply time. A GRANT or QUEUED is not passed
+        on if the request has drawn units already.
+        """
+        request = self.leases.find_request(sender, entry)
         if request is None:
             self._on_unmatched_reply(sender, entry)
             return
         request.account.fleet_demand_per_s = entry.demand_per_s
         request.account.fleet_demand_at_ms = self._turn.now_ms
-        self._learn_reply_time(sender, request)
+        self._update_expected_reply(sender, request)
         request.leader_replied = True
         if entry.kind is not EntryKind.DENY and request.units_drawn:
-            return  # the reply is a duplicate, or the request has been admitted optimistically
+            return  # the reply is a duplicate, or the request has been admitted from the local bucket
         if entry.kind is EntryKind.GRANT:
             request.units_drawn = request.arrival.units
         elif entry.kind is EntryKind.QUEUED:
@@ -107,15 +130,19 @@
         self._listener.on_lease_reply(request, entry.kind)
 
     def release_lease(self, request: RequestRecord) -> None:
-        """Return the units that a request drew and did not use, and its slot."""
+        """Forget a request that ends, and return its unused units or its slot to the leader.
+
+        The units are unused if no attempt was sent. Under a quota in flight, the end of each admitted request
+        returns its slot.
+        """
         self.leases.remove(request)
         if request.lease_requests and not request.leader_replied:
-            self._learn_missing_reply(request)
+            self._raise_expected_reply(request)
         if request.units_drawn and (not request.attempts or request.plan.max_in_flight):
             self._send_to_leader(EntryKind.RETURN, request)
 
     def _admit_locally(self, request: RequestRecord) -> bool:
-        """Admit from the local bucket if its ceiling permits it, and notify the leader."""
+        """Admit a request from the local bucket if its ceiling permits it, and report that to the leader."""
         account = request.account
         units = request.arrival.units
         if self._role.is_retired or (request.plan.ceiling_per_s and units > account.ceiling_level):
@@ -127,10 +154,11 @@
         return True
 
     def _is_within_inbox_limit(self, request: RequestRecord) -> bool:
-        """Return whether a request may send a lease request to its leader.
+        """Return whether a lease request may be sent for a request.
 
-        A customer that exceeds its quota many times would fill its leader's inbox, and the messages lost
-        there concern every customer. Only a random fraction of such a customer's requests is sent.
+        A customer that exceeds its quota many times over would overflow the inbox of its leader. The messages
+        lost there are those of all customers. For such a customer, lease requests are therefore sent for a
+        random sample of its requests only.
         """
         inbox_per_s = self._settings.gossip_inbox_per_s
         quota_limit_per_s = CUSTOMER_QUOTA_FACTOR * request.plan.rate_per_s
@@ -140,30 +168,33 @@
     def _request_lease(self, request: RequestRecord) -> None:
         request.lease_requests += 1
         request.lease_requested_at_ms = self._turn.now_ms
-        is_retry = request.arrival.is_client_retry
-        self._send_to_leader(EntryKind.RETRY_REQUEST if is_retry else EntryKind.REQUEST, request)
+        is_client_retry = request.arrival.is_client_retry
+        self._send_to_leader(EntryKind.RETRY_REQUEST if is_client_retry else EntryKind.REQUEST, request)
         if not request.leader_replied:
             is_silent = request.account.leader in self._silent_leaders
-            overdue_ms = 0.0 if is_silent else max(MIN_OVERDUE_MS, OVERDUE_FACTOR * self.reply_ms)
+            overdue_ms = 0.0 if is_silent else max(MIN_OVERDUE_MS, OVERDUE_FACTOR * self.expected_reply_ms)
             self._schedule(self._turn.now_ms + overdue_ms, TimerKind.LEASE_REPLY_OVERDUE, request.id)
 
     def _on_unmatched_reply(self, sender: int, entry: QuotaEntry) -> None:
-        """Return a grant whose request has ended, unless a sibling process may be waiting for it."""
+        """Return a grant that belongs to no open request, unless it may belong to the sibling process."""
         if entry.kind is EntryKind.GRANT and not self._role.has_sibling:
             self._send(sender, entry._replace(kind=EntryKind.RETURN))
 
-    def _learn_reply_time(self, sender: int, request: RequestRecord) -> None:
-        """Update the expected reply time by a first reply; this gateway's own replies take no time."""
+    def _update_expected_reply(self, sender: int, request: RequestRecord) -> None:
+        """Update the expected reply time by the first reply to a request's only lease request.
+
+        Replies of this gateway to itself take no time and are not counted.
+        """
         is_first_reply = request.lease_requests == 1 and not request.leader_replied
         if is_first_reply and sender != self._settings.gateway_number:
             elapsed_ms = self._turn.now_ms - request.lease_requested_at_ms
-            self.reply_ms += (elapsed_ms - self.reply_ms) * LATENCY_GAIN
+            self.expected_reply_ms += (elapsed_ms - self.expected_reply_ms) * LATENCY_GAIN
 
-    def _learn_missing_reply(self, request: RequestRecord) -> None:
-        """Raise the expected reply time where a request has ended before its leader's reply."""
+    def _raise_expected_reply(self, request: RequestRecord) -> None:
+        """Raise the expected reply time after a request has ended without its leader's reply."""
         assumed_ms = MISSED_REPLY_FACTOR * (self._turn.now_ms - request.arrived_at_ms)
-        self.reply_ms += max(0.0, assumed_ms - self.reply_ms) * LATENCY_GAIN
+        self.expected_reply_ms += max(0.0, assumed_ms - self.expected_reply_ms) * LATENCY_GAIN
 
     def _send_to_leader(self, kind: EntryKind, request: RequestRecord) -> None:
-        entry = self.leases.entry(kind, request, demand_per_s(request.account.demand))
+        entry = self.leases.create_entry(kind, request, demand_per_s(request.account.demand))
         self._send(request.account.leader, entry)
--- a/gateway/policy/quota/token_bucket.py
+++ b/gateway/policy/quota/token_bucket.py
@@ -1,4 +1,4 @@
-"""The arithmetic of token buckets."""
+"""The refill of token buckets."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def refilled_level(level: float, rate_per_s: float, elapsed_s: float, capacity: float = math.inf) -> float:
-    """Return the level of a bucket that has filled at `rate_per_s` for `elapsed_s`, up to its capacity."""
+    """Return a bucket's level after `elapsed_s` seconds of filling at `rate_per_s`, up to `capacity`."""
     return min(capacity, level + rate_per_s * elapsed_s)
--- a/gateway/policy/state_transfer/gateway_state.py
+++ b/gateway/policy/state_transfer/gateway_state.py
@@ -23,7 +23,7 @@
     INCARNATION = "boot"
     LAST_LEASE_ID = "serial"
     STARTED_AT_MS = "began"
-    LEASE_REPLY_MS = "rtt"
+    EXPECTED_REPLY_MS = "rtt"
     ACCOUNTS = "accounts"
     BUCKETS = "stores"
     ENDPOINTS = "servers"
@@ -43,7 +43,7 @@
     incarnation: int
     last_lease_id: int
     started_at_ms: float
-    lease_reply_ms: float
+    expected_reply_ms: float
     accounts: list[AccountSnapshot]
     buckets: list[BucketSnapshot]
     endpoints: list[EndpointSnapshot]
@@ -61,7 +61,7 @@
             _Key.INCARNATION: self.incarnation,
             _Key.LAST_LEASE_ID: self.last_lease_id,
             _Key.STARTED_AT_MS: self.started_at_ms,
-            _Key.LEASE_REPLY_MS: self.lease_reply_ms,
+            _Key.EXPECTED_REPLY_MS: self.expected_reply_ms,
             _Key.ACCOUNTS: self.accounts,
             _Key.BUCKETS: self.buckets,
             _Key.ENDPOINTS: self.endpoints,
@@ -81,7 +81,7 @@
             incarnation=int(value[_Key.INCARNATION]),
             last_lease_id=int(value[_Key.LAST_LEASE_ID]),
             started_at_ms=value[_Key.STARTED_AT_MS],
-            lease_reply_ms=float(value[_Key.LEASE_REPLY_MS]),
+            expected_reply_ms=float(value[_Key.EXPECTED_REPLY_MS]),
             accounts=[AccountSnapshot.from_row(row) for row in value[_Key.ACCOUNTS]],
             buckets=[BucketSnapshot.from_row(row) for row in value[_Key.BUCKETS]],
             endpoints=[EndpointSnapshot.from_row(row) for row in value[_Key.ENDPOINTS]],
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -29,7 +29,7 @@
         incarnation=role.incarnation,
         last_lease_id=flow.lease_client.leases.last_id,
         started_at_ms=role.started_at_ms,
-        lease_reply_ms=flow.lease_client.reply_ms,
+        expected_reply_ms=flow.lease_client.expected_reply_ms,
         accounts=_account_snapshots(controller),
         buckets=_bucket_snapshots(controller),
         endpoints=[EndpointSnapshot.of(endpoint) for endpoint in controller.directory.table.by_id.values()],
@@ -55,7 +55,7 @@
     role.incarnation = (state.incarnation + 1) % INCARNATIONS  # differs from the predecessor's for any seed
     lease_client = controller.flow.lease_client
     lease_client.leases.last_id = (state.last_lease_id + LEASE_ID_DISTANCE) % MAX_LEASE_ID
-    lease_client.reply_ms = state.lease_reply_ms
+    lease_client.expected_reply_ms = state.expected_reply_ms
     controller.context.turn.now_ms = now_ms
     _restore_accounts(controller, state.accounts, shift_ms)
     _restore_buckets(controller, state.buckets, shift_ms)
@@ -114,10 +114,10 @@
     for snapshot in snapshots:
         if snapshot.plan_index < len(plans):
             plan = plans[snapshot.plan_index]
-            bucket = LeaderBucket(snapshot.name, plan, snapshot.level, snapshot.refilled_at_ms)
+            bucket = LeaderBucket(snapshot.bucket_id, plan, snapshot.quota_level, snapshot.refilled_at_ms)
             snapshot.restore(bucket, shift_ms)
-            leader.buckets[snapshot.name] = bucket
-            leader.serve(bucket)
+            leader.buckets[snapshot.bucket_id] = bucket
+            leader.serve_queue(bucket)
 
 
 def _restore_endpoints(controller: Controller, state: GatewayState, shift_ms: float) -> None:
--- a/gateway/policy/state_transfer/snapshots.py
+++ b/gateway/policy/state_transfer/snapshots.py
@@ -115,29 +115,29 @@
 class BucketSnapshot(NamedTuple):
     """One bucket of the quota leader; the fields are in the order of the row in JSON."""
 
-    name: int
+    bucket_id: int
     plan_index: int
-    level: float
+    quota_level: float
     refilled_at_ms: float
     ceiling_level: float
     demand: float
     queue: list[LeaseRequestSnapshot]
-    slots: list[LeaseTime]
-    granted: list[LeaseTime]
+    slot_expiries_ms: list[LeaseTime]
+    grant_times_ms: list[LeaseTime]
 
     @classmethod
-    def of(cls, name: int, plan_index: int, bucket: LeaderBucket) -> BucketSnapshot:
+    def of(cls, bucket_id: int, plan_index: int, bucket: LeaderBucket) -> BucketSnapshot:
         """Return the snapshot of a bucket."""
         return cls(
-            name,
+            bucket_id,
             plan_index,
-            bucket.level,
+            bucket.quota_level,
             bucket.refilled_at_ms,
             bucket.ceiling_level,
             bucket.demand,
             [LeaseRequestSnapshot.of(queued) for queued in bucket.queue],
-            _lease_times(bucket.slots),
-            _lease_times(bucket.granted),
+            _lease_times(bucket.slot_expiries_ms),
+            _lease_times(bucket.grant_times_ms),
         )
 
     @classmethod
@@ -149,13 +149,13 @@
 
     def restore(self, bucket: LeaderBucket, shift_ms: float) -> None:
         """Copy the values into a bucket; `shift_ms` is added to all times."""
-        bucket.level = self.level
+        bucket.quota_level = self.quota_level
         bucket.refilled_at_ms = self.refilled_at_ms + shift_ms
         bucket.ceiling_level = self.ceiling_level
         bucket.demand = self.demand
         bucket.queue = [queued.restored(shift_ms) for queued in self.queue]
-        bucket.slots = {key: until_ms + shift_ms for key, until_ms in self.slots}
-        bucket.granted = {key: at_ms + shift_ms for key, at_ms in self.granted}
+        bucket.slot_expiries_ms = {key: until_ms + shift_ms for key, until_ms in self.slot_expiries_ms}
+        bucket.grant_times_ms = {key: at_ms + shift_ms for key, at_ms in self.grant_times_ms}
 
 
 class EndpointSnapshot(NamedTuple):
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -30,8 +30,8 @@
     controller.handle(1001, [GossipReceived(9, good), GossipReceived(0, good)])
     assert not controller.flow.leader.buckets and not controller.flow.open
     controller.handle(1001, [GossipReceived(1, good), GossipReceived(1, good)])  # a duplicate counts once
-    bucket = controller.flow.leader.buckets[quota_entry(EntryKind.REQUEST).bucket_name]
-    assert bucket.level == pytest.approx(12 - 4, abs=0.1)
+    bucket = controller.flow.leader.buckets[quota_entry(EntryKind.REQUEST).bucket_id]
+    assert bucket.quota_level == pytest.approx(12 - 4, abs=0.1)
 
 
 def test_messages_survive_a_round_trip_within_the_size_limit():
--- a/tests/policy/quota/test_leader.py
+++ b/tests/policy/quota/test_leader.py
@@ -48,7 +48,7 @@
             granted |= {datagram.receiver} if EntryKind.GRANT in kinds else set()
     # The class has half of the highest weight, so two fifths of the burst stay reserved for that weight.
     assert 6 <= len(granted) <= 8
-    assert 4.8 <= controller.flow.leader.buckets[request.bucket_name].level < 5.9
+    assert 4.8 <= controller.flow.leader.buckets[request.bucket_id].quota_level < 5.9
 
 
 def granted_leases(kind, class_index):
@@ -57,7 +57,7 @@
     controller.handle(1000, [SIX_ENDPOINTS])
     requests = [quota_entry(kind, serial=n, class_index=class_index) for n in range(1, 16)]
     controller.handle(1001, [GossipReceived(1, datagram_of(*requests))])
-    return len(controller.flow.leader.buckets[requests[0].bucket_name].granted)
+    return len(controller.flow.leader.buckets[requests[0].bucket_id].grant_times_ms)
 
 
 def test_client_retry_leaves_a_reserve_for_first_attempts():
--- a/tests/policy/quota/test_lease_client.py
+++ b/tests/policy/quota/test_lease_client.py
@@ -69,19 +69,19 @@
     controller = new_controller(gateway_number=OTHER_GATEWAY)
     own = next(f"o{n}" for n in range(99) if leader_of(f"o{n}") == controller.settings.gateway_number)
     controller.handle(1000, [SIX_ENDPOINTS])
-    before = controller.flow.lease_client.reply_ms
+    before = controller.flow.lease_client.expected_reply_ms
     for n in range(1, 60):
         controller.handle(1000 + n, [arrival(n, "seat", customer=own)])
-    assert controller.flow.lease_client.reply_ms == before
+    assert controller.flow.lease_client.expected_reply_ms == before
     (request,) = entries_in(datagrams_in(controller.handle(1100, [arrival(60)])))
     controller.handle(1190, [from_leader(request._replace(kind=EntryKind.QUEUED))])
-    assert controller.flow.lease_client.reply_ms > before
+    assert controller.flow.lease_client.expected_reply_ms > before
 
 
 def test_request_whose_reply_would_be_too_late_is_admitted_optimistically_at_once():
     controller = new_controller(gateway_number=OTHER_GATEWAY)
     controller.handle(1000.0, [SIX_ENDPOINTS])
-    controller.flow.lease_client.reply_ms = 500.0
+    controller.flow.lease_client.expected_reply_ms = 500.0
     (send,) = sends_in(controller.handle(1001, [arrival(1)]))
     ended = attempt_ended(send, AttemptResult.OK)
     actions = controller.handle(1002, [ended, arrival(2), TimerFired("agenda")])
@@ -108,7 +108,7 @@
 
 def test_lease_request_without_reply_is_admitted_optimistically_before_queue_timeout():
     controller = new_controller(gateway_number=OTHER_GATEWAY)
-    controller.flow.lease_client.reply_ms = 100.0
+    controller.flow.lease_client.expected_reply_ms = 100.0
     actions = controller.handle(1000.0, [SIX_ENDPOINTS, arrival(1), arrival(2)])
     assert not sends_in(actions)
     now = 1000.0
--- a/tests/policy/state_transfer/test_gateway_state.py
+++ b/tests/policy/state_transfer/test_gateway_state.py
@@ -61,7 +61,7 @@
     incarnation=st.integers(0, 0xFFFF),
     last_lease_id=st.integers(0, 0xFFFF),
     started_at_ms=VALUES,
-    lease_reply_ms=VALUES,
+    expected_reply_ms=VALUES,
     accounts=st.lists(ACCOUNTS, max_size=3),
     buckets=st.lists(BUCKETS, max_size=3),
     endpoints=st.lists(ENDPOINTS, max_size=3),
@@ -128,17 +128,17 @@
     key = LeaseKey(1, 2, 3)
     bucket = LeaderBucket(9, PLAN, 4.0, 100.0, 5.0, 6.0)
     bucket.queue = [LeaseRequest(key, ENTRY, 2.0, 90.0, 300.0)]
-    bucket.slots = {key: 400.0}
-    bucket.granted = {key: 80.0}
+    bucket.slot_expiries_ms = {key: 400.0}
+    bucket.grant_times_ms = {key: 80.0}
     restored = LeaderBucket(9, PLAN, 0.0, 0.0)
     BucketSnapshot.of(9, 0, bucket).restore(restored, SHIFT_MS)
-    assert (restored.level, restored.ceiling_level, restored.demand) == (4.0, 5.0, 6.0)
+    assert (restored.quota_level, restored.ceiling_level, restored.demand) == (4.0, 5.0, 6.0)
     assert restored.refilled_at_ms == 100.0 + SHIFT_MS
     (queued,) = restored.queue
     assert (queued.key, queued.entry, queued.priority_weight) == (key, ENTRY, 2.0)
     assert (queued.received_at_ms, queued.expires_at_ms) == (90.0 + SHIFT_MS, 300.0 + SHIFT_MS)
-    assert restored.slots == {key: 400.0 + SHIFT_MS}
-    assert restored.granted == {key: 80.0 + SHIFT_MS}
+    assert restored.slot_expiries_ms == {key: 400.0 + SHIFT_MS}
+    assert restored.grant_times_ms == {key: 80.0 + SHIFT_MS}
     assert bucket.queue[0].received_at_ms == 90.0
 
 
--- a/tests/policy/state_transfer/test_hot_restart.py
+++ b/tests/policy/state_transfer/test_hot_restart.py
@@ -83,7 +83,7 @@
     assert reply.receiver == 0
     assert sent_ids(predecessor.handle(now + 2, [GossipReceived(0, reply.data)])) == [1]
     (bucket, *_) = successor.flow.leader.buckets.values()
-    assert bucket.level <= 11.01  # the successor's bucket pays for the request
+    assert bucket.quota_level <= 11.01  # the successor's bucket pays for the request
 
 
 def test_waiting_request_gets_its_reply_from_the_successor():
