--- a/gateway/gossip/__init__.py
+++ b/gateway/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip: the datagrams that gateways send each other."""
+"""Gossip: the format of the datagrams between gateways."""
--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -1,7 +1,8 @@
-"""The datagrams between gateways: quota entries and observations of endpoints, in at most 256 bytes.
+"""The codec of the datagrams between gateways, which carry quota entries and observations of endpoints.
 
-A datagram is a header, the entries that the header counts, and observations up to its end. All fields are
-little-endian. The layout is an interface between versions of this program, and has to stay as it is.
+A datagram has at most 256 bytes: a header, the entries that the header counts, and observations up to the
+end. All fields are little-endian. Gateways of different versions of this program exchange datagrams, so the
+layout must not change.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
     "<"
     "B"  # version
     "H"  # incarnation
-    "H"  # target concurrency, a fixed-point number
+    "H"  # target concurrency, in steps of 1/64 attempt
     "B"  # number of entries
 )
 _ENTRY_LAYOUT = struct.Struct(
@@ -26,88 +27,93 @@
     "B"  # kind
     "I"  # customer tag
     "H"  # lease id
-    "H"  # units, a fixed-point number
-    "H"  # demand per second, a fixed-point number
-    "B"  # class index and plan index
+    "H"  # units, in steps of 1/16 unit
+    "H"  # demand, in steps of 1/16 unit per second
+    "B"  # class index in the upper four bits, plan index in the lower four
 )
 _OBSERVATION_LAYOUT = struct.Struct(
     "<"
     "H"  # endpoint tag
-    "B"  # class index and grade
+    "B"  # class index in the upper four bits, grade in the lower four
 )
 
 MAX_DATAGRAM_BYTES = 256  # maximum size of a datagram, in bytes
-MAX_OBSERVATIONS = 4  # observations in a datagram
-MAX_ENTRIES = (  # quota entries in a datagram
+MAX_OBSERVATIONS = 4  # maximum number of observations in a datagram
+MAX_ENTRIES = (  # maximum number of quota entries beside MAX_OBSERVATIONS observations
     MAX_DATAGRAM_BYTES - _HEADER_LAYOUT.size - MAX_OBSERVATIONS * _OBSERVATION_LAYOUT.size
 ) // _ENTRY_LAYOUT.size
 
 _MAX_UINT16 = 0xFFFF
-_NIBBLE_BITS = 4  # size of class indexes, plan indexes and grades, in bits
+_NIBBLE_BITS = 4  # bits of a class index, a plan index or a grade
 _NIBBLE_MASK = (1 << _NIBBLE_BITS) - 1
-MAX_INDEXES = 1 << _NIBBLE_BITS  # number of classes and of plans that entries can name
+INDEX_LIMIT = 1 << _NIBBLE_BITS  # class and plan indexes in a datagram are below this limit
 
-_CONCURRENCY_SCALE = 64  # steps per attempt of the fixed-point target concurrency
-_UNITS_SCALE = 16  # steps per unit of the fixed-point units and rates
-_FAILED_GRADE = 15  # grade of a failed attempt
-_EXPECTED_GRADE = 4  # grade of a latency equal to the expected one
-_GRADES_PER_DOUBLING = 2  # grades between a latency and twice that latency
-_MIN_LATENCY_RATIO = 0.25  # least latency that a grade expresses, in expected latencies
-_MAX_LATENCY_RATIO = 32.0  # greatest latency that a grade expresses, in expected latencies
+_CONCURRENCY_SCALE = 64  # fixed-point steps per attempt of the target concurrency
+_UNITS_SCALE = 16  # fixed-point steps per unit, and per unit per second
+
+# A grade is the latency of an attempt on a logarithmic scale, relative to the expected latency of its class.
+_FAILED_GRADE = 15  # grade of a failed attempt, whatever its latency
+_EXPECTED_GRADE = 4  # grade of the expected latency
+_GRADES_PER_DOUBLING = 2  # difference between the grades of a latency and of its double
+_MIN_LATENCY_RATIO = 0.25  # multiple of the expected latency at grade 0; shorter latencies get this grade
+_MAX_LATENCY_RATIO = 32.0  # multiple of the expected latency at grade 14; longer latencies get this grade
 
 
 class EntryKind(IntEnum):
-    """The kind of a quota entry."""
+    """The kind of a quota entry; the values are those in datagrams."""
 
     REQUEST = 1  # to the leader: a lease request
     GRANT = 2  # from the leader: the lease is granted
     QUEUED = 3  # from the leader: the lease request is queued
-    USED = 4  # to the leader: the units were used without a grant
-    RETURN = 5  # to the leader: the units are not needed, or the request is no longer in flight
-    RETRY_REQUEST = 6  # to the leader: a lease request for a client's retry
-    DENY = 7  # from the leader: the lease cannot be granted in time
+    USED = 4  # to the leader: a request was admitted without a grant and uses the units
+    RETURN = 5  # to the leader: the units are unused, or the request is no longer in flight
+    RETRY_REQUEST = 6  # to the leader: a lease request for a request that is a client's retry
+    DENY = 7  # from the leader: the lease cannot be granted before the lease request expires
 
 
-REPLY_KINDS = (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY)  # kinds that a leader sends
+REPLY_KINDS = (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY)  # kinds of the entries that a leader sends
 _KINDS = frozenset(int(kind) for kind in EntryKind)
 
 
 class QuotaEntry(NamedTuple):
-    """A message about the quota of one request."""
+    """An entry about the units of one request, from its gateway to the quota leader or back."""
 
     kind: EntryKind
-    customer_tag: int
-    lease_id: int
+    customer_tag: int  # as returned by customer_tag()
+    lease_id: int  # identifies the request at its gateway
     units: float
-    demand_per_s: float  # the customer's demand at the sender; from a leader, at all gateways
-    class_index: int
-    plan_index: int
+    demand_per_s: float  # the customer's demand at the sending gateway; from a leader, at all gateways
+    class_index: int  # position in Settings.classes
+    plan_index: int  # position in Settings.plans
 
     @property
     def bucket_id(self) -> int:
-        """The name of the leader's bucket for the customer and the plan."""
+        """The id of the leader's bucket for the entry's customer and plan."""
         return self.customer_tag << _NIBBLE_BITS | self.plan_index
 
 
 class EndpointObservation(NamedTuple):
-    """The result of one attempt at an endpoint, as its sender observed it."""
+    """The latency or failure of one attempt at an endpoint, as the sending gateway observed it."""
 
-    endpoint_tag: int
+    endpoint_tag: int  # as returned by endpoint_tag()
     class_index: int
-    grade: int
+    grade: int  # latency on a logarithmic scale, or _FAILED_GRADE
 
 
 class GossipMessage(NamedTuple):
-    """The contents of one datagram."""
+    """The contents of one datagram, with fixed-point numbers as floats."""
 
-    incarnation: int
-    target_concurrency: float
+    incarnation: int  # identifies the sending process of the gateway
+    target_concurrency: float  # attempts in flight at the sender's recent rate of responses
     entries: tuple[QuotaEntry, ...]
     observations: tuple[EndpointObservation, ...]
 
 
 def observation_of(endpoint_id: str, class_index: int, latency_ratio: float) -> EndpointObservation:
-    """Return the observation of an attempt: its latency in expected latencies, or inf for a failure."""
+    """Return the observation of an attempt.
+
+    `latency_ratio` is the latency as a multiple of the class's expected latency, or inf for a failure.
+    """
     grade = _FAILED_GRADE
     if latency_ratio != math.inf:
         bounded_ratio = max(_MIN_LATENCY_RATIO, min(_MAX_LATENCY_RATIO, latency_ratio))
@@ -116,19 +122,19 @@
 
 
 def latency_ratio_of(observation: EndpointObservation) -> float:
-    """Return the latency of an observation in expected latencies, or inf for a failure."""
+    """Return an observation's latency as a multiple of the expected latency, or inf for a failure."""
     if observation.grade == _FAILED_GRADE:
         return math.inf
     return 2 ** ((observation.grade - _EXPECTED_GRADE) / _GRADES_PER_DOUBLING)
 
 
 def customer_tag(customer: str) -> int:
-    """Return a hash of a customer's name with 32 bits, which is the same at every gateway."""
+    """Return a 32-bit hash of a customer's name, which is the same at all gateways."""
     return zlib.crc32(customer.encode())
 
 
 def endpoint_tag(endpoint_id: str) -> int:
-    """Return a hash of an endpoint's id with 16 bits, which is the same at every gateway."""
+    """Return a 16-bit hash of an endpoint's id, which is the same at all gateways."""
     return zlib.crc32(endpoint_id.encode()) & _MAX_UINT16
 
 
@@ -138,16 +144,17 @@
     entries: Sequence[QuotaEntry],
     observations: Sequence[EndpointObservation],
 ) -> bytes:
-    """Return a datagram.
+    """Return the datagram that carries these entries and observations.
 
-    Entries and observations beyond its capacity are omitted, as are those whose indexes exceed their fields:
-    an error would fail the sender's turn.
+    Entries and observations beyond the capacity of a datagram are omitted, and so are those with an index of
+    INDEX_LIMIT or more: an error would fail the sender's turn. Fixed-point values are rounded and limited
+    to the range of their fields.
     """
-    sent_entries = [entry for entry in entries[:MAX_ENTRIES] if _fits(entry)]
+    sent_entries = [entry for entry in entries[:MAX_ENTRIES] if _has_valid_indexes(entry)]
     sent_observations = [
         observation
         for observation in observations[:MAX_OBSERVATIONS]
-        if observation.class_index < MAX_INDEXES
+        if observation.class_index < INDEX_LIMIT
     ]
     concurrency = _fixed_point(target_concurrency, _CONCURRENCY_SCALE)
     header = _HEADER_LAYOUT.pack(_VERSION, incarnation & _MAX_UINT16, concurrency, len(sent_entries))
@@ -157,7 +164,10 @@
 
 
 def decode(data: bytes) -> GossipMessage | None:
-    """Return the message in a datagram, or None where it is invalid."""
+    """Return the message in a datagram, or None if it is invalid.
+
+    A datagram is invalid if its size or its version is wrong, or if it contains an unknown kind of entry.
+    """
     if len(data) < _HEADER_LAYOUT.size or len(data) > MAX_DATAGRAM_BYTES or data[0] != _VERSION:
         return None
     _, incarnation, concurrency, entry_count = _HEADER_LAYOUT.unpack_from(data)
@@ -177,8 +187,8 @@
     )
 
 
-def _fits(entry: QuotaEntry) -> bool:
-    return max(entry.class_index, entry.plan_index) < MAX_INDEXES
+def _has_valid_indexes(entry: QuotaEntry) -> bool:
+    return max(entry.class_index, entry.plan_index) < INDEX_LIMIT
 
 
 def _fixed_point(value: float, scale: int) -> int:
--- a/gateway/policy/gossip/__init__.py
+++ b/gateway/policy/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip: the outbox of quota entries, and the pace at which it is sent."""
+"""Gossip: the outbox of quota entries for other gateways, and the pacing of messages."""
--- a/gateway/policy/gossip/outbox.py
+++ b/gateway/policy/gossip/outbox.py
@@ -1,4 +1,4 @@
-"""The outbox of quota entries for other gateways."""
+"""The outbox: quota entries that wait for the next message to their gateway."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """The entries of one message, and the gateway to which it goes."""
+    """The entries of one message, and the number of the gateway that receives it."""
 
     gateway: int
     entries: list[QuotaEntry]
 
 
 class EntryOutbox(dict[int, list[QuotaEntry]]):
-    """Queues of entries by gateway; a gateway without entries has no queue."""
+    """Queues of entries by gateway number. A gateway without entries has no key."""
 
     def add(self, gateway: int, entry: QuotaEntry) -> None:
-        """Queue an entry for the next message to a gateway."""
+        """Append an entry to the queue of a gateway."""
         self.setdefault(gateway, []).append(entry)
 
     def take_messages(self, gateways: list[int]) -> list[OutgoingMessage]:
         """Remove and return one message for each of these gateways.
 
-        Entries beyond the size of a message stay queued. Raises KeyError for a gateway without entries.
+        Entries beyond the capacity of a message (`MAX_ENTRIES`) stay queued. Raises KeyError for a gateway
+        without entries.
         """
         queues = [(gateway, self.pop(gateway)) for gateway in gateways]
         for gateway, entries in queues:
--- a/gateway/policy/gossip/pace.py
+++ b/gateway/policy/gossip/pace.py
@@ -1,7 +1,8 @@
-"""The pace of gossip: how often messages are sent, so that no gateway's inbox overflows.
+"""The pacing of gossip: a limit on the rate of messages, so that no gateway's inbox overflows.
 
-Messages beyond an inbox's rate are lost. The rate at which this gateway receives messages stands for that of
-its peers: where its own inbox is more than half full, entries wait longer, so that a message carries more.
+Messages beyond the rate of a gateway's inbox are lost. A gateway does not know the rates at which its peers
+receive messages, and takes the rate at its own inbox as an estimate. When its own inbox is more than half
+full, it leaves more time between two messages to the same gateway, so that each message carries more entries.
 """
 
 import math
@@ -11,52 +12,62 @@
 from gateway.policy.gossip.outbox import EntryOutbox, OutgoingMessage
 from gateway.policy.timers import TimerKind
 
-INBOX_FRACTION = 0.75  # fraction of an inbox that all other gateways together may fill
-ACTIVE_PEER_MS = 1000.0  # time since its last message for which a peer counts as an active sender
+# Fraction of the rate of a gateway's inbox that the messages of all other gateways together may use.
+INBOX_FRACTION = 0.75
+
+# Time, in milliseconds, after its last message for which a peer counts as active. The rate of an inbox is
+# divided among the active peers. The count of received messages decays with the same time constant.
+ACTIVE_PEER_MS = 1000.0
 
 
 class GossipPacer(PolicyComponent):
-    """Takes the messages out of the outbox that may be sent."""
+    """Decides when the entries in the outbox are sent, and takes them out as messages."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
         self.outbox = EntryOutbox()
-        self.received_at_ms: dict[int, float] = {}  # time of the last message of each active peer
+        self.received_at_ms: dict[int, float] = {}  # time of the last message from each active peer
         self._sent_at_ms: dict[int, float] = {}  # time of the last message to each gateway
-        self._received = 0.0  # decaying count of received messages
-        self._flush_at_ms = 0.0  # time of the next flush that is scheduled
+        self._received_count = 0.0  # exponentially decaying count of received messages
+        self._flush_at_ms = 0.0  # time of the last scheduled GOSSIP_FLUSH timer
 
     def on_received(self, sender: int) -> None:
-        """Count a received message."""
+        """Record the sender and the time of a received message."""
         self.received_at_ms[sender] = self._turn.now_ms
-        self._received += 1
+        self._received_count += 1
 
     def decay_received_count(self) -> None:
-        """Let the count of received messages decay by one period."""
-        self._received *= decay(PERIOD_MS, ACTIVE_PEER_MS)
+        """Reduce the count of received messages by the decay of one period; called once per period."""
+        self._received_count *= decay(PERIOD_MS, ACTIVE_PEER_MS)
 
     def take_messages(self) -> list[OutgoingMessage]:
-        """Return the messages to send now, and schedule a timer for entries that remain."""
+        """Remove and return the messages that may be sent now, and schedule a timer for remaining entries."""
         if not self.outbox:
             return []
         now_ms = self._turn.now_ms
-        gap_ms = self._gap_ms()
+        min_interval_ms = self._min_interval_ms()
         ready = [
-            gateway for gateway in self.outbox if now_ms > self._sent_at_ms.get(gateway, NEVER_MS) + gap_ms
+            gateway
+            for gateway in self.outbox
+            if now_ms > self._sent_at_ms.get(gateway, NEVER_MS) + min_interval_ms
         ]
         self._sent_at_ms.update((gateway, now_ms) for gateway in ready)
         messages = self.outbox.take_messages(ready)
         if self.outbox and now_ms >= self._flush_at_ms:
-            self._flush_at_ms = now_ms + max(self._settings.tick_ms, gap_ms / 2)
+            self._flush_at_ms = now_ms + max(self._settings.tick_ms, min_interval_ms / 2)
             self._schedule(self._flush_at_ms, TimerKind.GOSSIP_FLUSH)
         return messages
 
-    def _gap_ms(self) -> float:
-        """Return the minimum time between two messages to one gateway."""
+    def _min_interval_ms(self) -> float:
+        """Return the minimum time between two messages to one gateway.
+
+        It is 0 up to half of the permitted rate at this gateway's inbox, and grows linearly up to the full
+        rate. There, all active peers together send no more than the permitted rate to any one gateway.
+        """
         self._drop_inactive_peers()
         inbox_per_s = INBOX_FRACTION * self._settings.gossip_inbox_per_s or math.inf
-        fullness = min(1.0, max(0.0, 2 * self._received / inbox_per_s - 1))
-        return fullness * len(self.received_at_ms) * 1000 / inbox_per_s
+        interval_factor = min(1.0, max(0.0, 2 * self._received_count / inbox_per_s - 1))
+        return interval_factor * len(self.received_at_ms) * 1000 / inbox_per_s
 
     def _drop_inactive_peers(self) -> None:
         now_ms = self._turn.now_ms
--- a/tests/gossip/test_codec_properties.py
+++ b/tests/gossip/test_codec_properties.py
@@ -6,7 +6,7 @@
 from gateway.gossip.codec import (
     MAX_DATAGRAM_BYTES,
     MAX_ENTRIES,
-    MAX_INDEXES,
+    INDEX_LIMIT,
     MAX_OBSERVATIONS,
     EndpointObservation,
     EntryKind,
@@ -19,7 +19,7 @@
 )
 
 UINT16 = st.integers(0, 0xFFFF)
-INDEXES = st.integers(0, MAX_INDEXES - 1)
+INDEXES = st.integers(0, INDEX_LIMIT - 1)
 SIXTEENTHS = UINT16.map(lambda number: number / 16)
 ENTRIES = st.builds(
     QuotaEntry,
