--- a/gateway/policy/state_transfer/__init__.py
+++ b/gateway/policy/state_transfer/__init__.py
@@ -1,1 +1,1 @@
-"""State transfer: the state that a process exports and its successor restores during a hot restart."""
+"""State transfer: a process exports its state, and its successor restores it, during a hot restart."""
--- a/gateway/policy/state_transfer/gateway_state.py
+++ b/gateway/policy/state_transfer/gateway_state.py
@@ -1,6 +1,6 @@
-"""The state that a process passes to its successor, and its JSON form.
+"""The state that a process passes to its successor during a hot restart, and its JSON form.
 
-The JSON form is an interface between versions of this program, and its keys have to stay as they are.
+The successor may be another version of this program, so the keys of the JSON form must not change.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class _Key:
-    """The keys of the JSON object."""
+    """The keys of the state's JSON object, by field of `GatewayState`."""
 
     EXPORTED_AT_MS = "now"
     INCARNATION = "boot"
@@ -37,25 +37,25 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayState:
-    """The state with which the successor continues."""
+    """The state of one process at the time of its export."""
 
-    exported_at_ms: float
-    incarnation: int
-    last_lease_id: int
-    started_at_ms: float
-    expected_reply_ms: float
+    exported_at_ms: float  # by the clock of the exporting process, as all times in the state
+    incarnation: int  # of the exporting process
+    last_lease_id: int  # the lease id assigned last
+    started_at_ms: float  # start of the gateway, including its previous processes
+    expected_reply_ms: float  # expected time from a lease request to its reply
     accounts: list[AccountSnapshot]
-    buckets: list[BucketSnapshot]
+    buckets: list[BucketSnapshot]  # of the quota leader
     endpoints: list[EndpointSnapshot]
-    reference_capacity: float
-    recent_sends: float
-    retry_budget: float
+    reference_capacity: float  # decaying maximum of the endpoints' total capacity
+    recent_sends: float  # decaying count of the attempts sent
+    retry_budget: float  # number of retries that may be sent
     limiter: LimiterSnapshot
-    shares: dict[str, float]  # dispatch shares by class
-    expected_latencies_ms: dict[str, float]  # expected latencies by class
+    shares: dict[str, float]  # dispatch shares, by class name
+    expected_latencies_ms: dict[str, float]  # expected latencies, by class name
 
     def to_json(self) -> dict[str, Any]:
-        """Return the JSON form, in which each snapshot but the limiter's is a row of its values."""
+        """Return the JSON form: snapshots are arrays of their values, except for the limiter's object."""
         return {
             _Key.EXPORTED_AT_MS: self.exported_at_ms,
             _Key.INCARNATION: self.incarnation,
@@ -75,7 +75,10 @@
 
     @classmethod
     def from_json(cls, value: dict[str, Any]) -> GatewayState:
-        """Read the JSON form; raises KeyError, TypeError or ValueError where it is invalid."""
+        """Return the state in a JSON object.
+
+        Raises KeyError for a missing key, and TypeError or ValueError for a value or a row of another form.
+        """
         return cls(
             exported_at_ms=value[_Key.EXPORTED_AT_MS],
             incarnation=int(value[_Key.INCARNATION]),
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -1,8 +1,9 @@
 """The transfer of a gateway's state between its processes during a hot restart.
 
-The predecessor exports what its successor needs to continue as the same gateway: the units that were spent,
-the leases of other gateways, and the estimates of endpoints. Open requests stay with the predecessor, which
-sends its lease requests to the successor where this gateway is the customer's quota leader.
+The predecessor exports what its successor needs to continue as the same gateway: the units that are spent
+(as levels of accounts and buckets), the leases of other gateways, and the estimates of the endpoints. Open
+requests stay with the predecessor. For customers whose leader is this gateway, the predecessor sends its
+lease requests to the successor.
 """
 
 from gateway.policy.context import INCARNATIONS
@@ -17,11 +18,16 @@
     LimiterSnapshot,
 )
 
-LEASE_ID_DISTANCE = 0x8000  # distance between the lease ids of predecessor and successor
+# Distance between the last lease ids of the predecessor and its successor: half of all lease ids. Other
+# gateways send replies to either process at the same gateway number, so that both must not use the same ids.
+LEASE_ID_DISTANCE = 0x8000
 
 
 def export_state(controller: Controller, now_ms: float) -> GatewayState:
-    """Return the state for the successor and retire: from now on this process grants and admits nothing."""
+    """Return the state for the successor, and retire this process.
+
+    A retired process grants no leases and admits nothing from local buckets; its buckets are emptied.
+    """
     role = controller.context.role
     flow = controller.flow
     state = GatewayState(
@@ -47,7 +53,11 @@
 
 
 def restore_state(controller: Controller, now_ms: float, state: GatewayState) -> None:
-    """Continue with the state of the predecessor, whose clock may differ from this one."""
+    """Continue with the predecessor's state.
+
+    The processes may use different clocks: all times in the state are shifted by the difference between
+    `now_ms` and the time of the export.
+    """
     shift_ms = now_ms - state.exported_at_ms
     role = controller.context.role
     role.has_sibling = True
@@ -64,7 +74,10 @@
 
 
 def resume(controller: Controller, now_ms: float) -> None:
-    """Return from retirement after the successor has ended; all buckets are empty, as after a restart."""
+    """End the retirement of this process after its successor has ended.
+
+    All buckets are empty, as after a restart, because the successor may have used their units.
+    """
     role = controller.context.role
     role.is_retired = False
     role.has_sibling = False
@@ -73,12 +86,12 @@
 
 
 def on_predecessor_ended(controller: Controller) -> None:
-    """Record that this is the gateway's only process."""
+    """Record that the predecessor has ended, which makes this the gateway's only process."""
     controller.context.role.has_sibling = False
 
 
 def _empty_buckets(controller: Controller, now_ms: float) -> None:
-    """Remove all units from the leader's and the local buckets."""
+    """Drop the leader's buckets, and remove all units from the local buckets and ceilings."""
     controller.flow.leader.buckets.clear()
     for account in controller.flow.lease_client.accounts.by_key.values():
         account.quota_level = 0.0
@@ -94,10 +107,14 @@
 def _bucket_snapshots(controller: Controller) -> list[BucketSnapshot]:
     plans = controller.settings.plans
     buckets = controller.flow.leader.buckets
-    return [BucketSnapshot.of(name, plans.index(bucket.plan), bucket) for name, bucket in buckets.items()]
+    return [
+        BucketSnapshot.of(bucket_id, plans.index(bucket.plan), bucket)
+        for bucket_id, bucket in buckets.items()
+    ]
 
 
 def _restore_accounts(controller: Controller, snapshots: list[AccountSnapshot], shift_ms: float) -> None:
+    """Restore the accounts whose plans this process knows."""
     accounts = controller.flow.lease_client.accounts
     plans = {plan.name: plan for plan in controller.settings.plans}
     for snapshot in snapshots:
@@ -108,7 +125,7 @@
 
 
 def _restore_buckets(controller: Controller, snapshots: list[BucketSnapshot], shift_ms: float) -> None:
-    """Restore the leader's buckets, and serve each one, which schedules the next service of its queue."""
+    """Restore the buckets whose plans this process knows, and serve their queues, which schedules timers."""
     leader = controller.flow.leader
     plans = controller.settings.plans
     for snapshot in snapshots:
@@ -121,7 +138,7 @@
 
 
 def _restore_endpoints(controller: Controller, state: GatewayState, shift_ms: float) -> None:
-    """Restore the estimates of the listed endpoints that have not restarted since the export."""
+    """Restore the estimates of listed endpoints, unless an endpoint has restarted since its snapshot."""
     directory = controller.directory
     for snapshot in state.endpoints:
         endpoint = directory.table.by_id.get(snapshot.id)
@@ -132,6 +149,7 @@
 
 
 def _restore_request_flow(controller: Controller, state: GatewayState) -> None:
+    """Restore the limiter and the retry budget, and the estimates of the classes that this process knows."""
     flow = controller.flow
     state.limiter.restore(flow.attempts.limiter)
     flow.attempts.limiter.update_limit(controller.directory.capacity)
--- a/gateway/policy/state_transfer/snapshots.py
+++ b/gateway/policy/state_transfer/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots of accounts, buckets, endpoints and the concurrency limiter, and their rows in JSON.
+"""Snapshots of accounts, buckets, endpoints and the concurrency limiter, and their JSON forms.
 
-A row lists the values of a snapshot in the order of its fields. That order is an interface between versions
-of this program, and has to stay as it is.
+The JSON form of a snapshot is a row: an array of its values in the order of its fields. A successor may be
+another version of this program, so that order must not change. The limiter's snapshot is an object instead.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from gateway.policy.quota.account import AccountKey, CustomerAccount
 from gateway.policy.quota.leader_bucket import LeaderBucket, LeaseKey, LeaseRequest
 
-Row = list[Any]  # the values of one snapshot, as read from JSON
+Row = list[Any]  # the values of one snapshot, as parsed from JSON and not validated yet
 
 
 class _LimiterKey:
-    """The keys of the concurrency limiter's object in the JSON object."""
+    """The keys of the JSON object of the concurrency limiter."""
 
     PEAK = "peak"
     CUT = "cut"
@@ -28,7 +28,7 @@
 
 
 class AccountSnapshot(NamedTuple):
-    """One customer's account; the fields are in the order of the row in JSON."""
+    """The values of one account, in the order of its row in JSON."""
 
     key: AccountKey
     refilled_at_ms: float
@@ -40,7 +40,7 @@
 
     @classmethod
     def of(cls, key: AccountKey, account: CustomerAccount) -> AccountSnapshot:
-        """Return the snapshot of an account."""
+        """Return the snapshot of the account with this key."""
         return cls(
             key,
             account.refilled_at_ms,
@@ -53,12 +53,12 @@
 
     @classmethod
     def from_row(cls, row: Row) -> AccountSnapshot:
-        """Read one row; raises TypeError or ValueError where it is invalid."""
+        """Return the snapshot in a row; raises TypeError or ValueError if the row has another form."""
         key, *values = row
         return cls(AccountKey(*key), *values)
 
     def restore(self, account: CustomerAccount, shift_ms: float) -> None:
-        """Copy the values into an account; `shift_ms` is added to all times."""
+        """Copy the values into an account, with `shift_ms` added to all times."""
         account.refilled_at_ms = self.refilled_at_ms + shift_ms
         account.quota_level = self.quota_level
         account.ceiling_level = self.ceiling_level
@@ -68,7 +68,7 @@
 
 
 class LeaseRequestSnapshot(NamedTuple):
-    """One queued lease request; the fields are in the order of the row in JSON."""
+    """The values of one queued lease request, in the order of its row in JSON."""
 
     key: LeaseKey
     entry: QuotaEntry
@@ -78,7 +78,7 @@
 
     @classmethod
     def of(cls, queued: LeaseRequest) -> LeaseRequestSnapshot:
-        """Return the snapshot of a lease request."""
+        """Return the snapshot of a queued lease request."""
         return cls(
             queued.key,
             queued.entry,
@@ -89,13 +89,13 @@
 
     @classmethod
     def from_row(cls, row: Row) -> LeaseRequestSnapshot:
-        """Read one row; raises TypeError or ValueError where it is invalid."""
+        """Return the snapshot in a row; raises TypeError or ValueError if the row has another form."""
         key, entry, *values = row
         kind, *entry_values = entry
         return cls(LeaseKey(*key), QuotaEntry(EntryKind(kind), *entry_values), *values)
 
     def restored(self, shift_ms: float) -> LeaseRequest:
-        """Return the lease request; `shift_ms` is added to all times."""
+        """Return the lease request, with `shift_ms` added to all times."""
         return LeaseRequest(
             self.key,
             self.entry,
@@ -106,17 +106,17 @@
 
 
 class LeaseTime(NamedTuple):
-    """A lease and a time: the expiry of its slot, or the time of its grant."""
+    """A lease, and the expiry of its slot or the time of its grant."""
 
     key: LeaseKey
     at_ms: float
 
 
 class BucketSnapshot(NamedTuple):
-    """One bucket of the quota leader; the fields are in the order of the row in JSON."""
+    """The values of one bucket of the quota leader, in the order of its row in JSON."""
 
     bucket_id: int
-    plan_index: int
+    plan_index: int  # position in Settings.plans
     quota_level: float
     refilled_at_ms: float
     ceiling_level: float
@@ -127,7 +127,7 @@
 
     @classmethod
     def of(cls, bucket_id: int, plan_index: int, bucket: LeaderBucket) -> BucketSnapshot:
-        """Return the snapshot of a bucket."""
+        """Return the snapshot of a bucket, whose plan has this position in Settings.plans."""
         return cls(
             bucket_id,
             plan_index,
@@ -142,13 +142,13 @@
 
     @classmethod
     def from_row(cls, row: Row) -> BucketSnapshot:
-        """Read one row; raises TypeError or ValueError where it is invalid."""
+        """Return the snapshot in a row; raises TypeError or ValueError if the row has another form."""
         *levels, queue, slots, granted = row
         lease_requests = [LeaseRequestSnapshot.from_row(queued) for queued in queue]
         return cls._make([*levels, lease_requests, _lease_times_from(slots), _lease_times_from(granted)])
 
     def restore(self, bucket: LeaderBucket, shift_ms: float) -> None:
-        """Copy the values into a bucket; `shift_ms` is added to all times."""
+        """Copy the values into a bucket, with `shift_ms` added to all times."""
         bucket.quota_level = self.quota_level
         bucket.refilled_at_ms = self.refilled_at_ms + shift_ms
         bucket.ceiling_level = self.ceiling_level
@@ -159,7 +159,7 @@
 
 
 class EndpointSnapshot(NamedTuple):
-    """The estimates of one endpoint; the fields are in the order of the row in JSON."""
+    """The estimates of one endpoint, in the order of its row in JSON."""
 
     id: str
     started_at_ms: float
@@ -172,7 +172,7 @@
 
     @classmethod
     def of(cls, endpoint: EndpointRecord) -> EndpointSnapshot:
-        """Return the snapshot of an endpoint."""
+        """Return the snapshot of an endpoint; it shares the counts with the endpoint's record."""
         return cls(
             endpoint.entry.id,
             endpoint.entry.started_at_ms,
@@ -186,11 +186,14 @@
 
     @classmethod
     def from_row(cls, row: Row) -> EndpointSnapshot:
-        """Read one row; raises TypeError where it is invalid."""
+        """Return the snapshot in a row; raises TypeError if the number of values is wrong."""
         return cls(*row)
 
     def restore(self, endpoint: EndpointRecord, shift_ms: float) -> None:
-        """Copy the values into an endpoint's record; `shift_ms` is added to all times."""
+        """Copy the values into an endpoint's record, with `shift_ms` added to all times.
+
+        The count of attempts in flight stays as it is: the predecessor ends its own attempts.
+        """
         endpoint.latency_factor = self.latency_factor
         endpoint.outcomes = ClassCounts(self.outcomes)
         endpoint.failures = ClassCounts(self.failures)
@@ -211,12 +214,12 @@
 
     @classmethod
     def of(cls, limiter: ConcurrencyLimiter) -> LimiterSnapshot:
-        """Return the snapshot of a limiter."""
+        """Return the snapshot of a concurrency limiter."""
         return cls(limiter.peak, limiter.cut, limiter.target, limiter.peer_target)
 
     @classmethod
     def from_json(cls, value: dict[str, Any]) -> LimiterSnapshot:
-        """Read the JSON form; raises KeyError, TypeError or ValueError where it is invalid."""
+        """Return the snapshot in a JSON object; raises KeyError, TypeError or ValueError if it is invalid."""
         return cls(
             peak=float(value[_LimiterKey.PEAK]),
             cut=float(value[_LimiterKey.CUT]),
@@ -225,7 +228,7 @@
         )
 
     def to_json(self) -> dict[str, float]:
-        """Return the JSON form."""
+        """Return the snapshot as a JSON object."""
         return {
             _LimiterKey.PEAK: self.peak,
             _LimiterKey.CUT: self.cut,
@@ -234,7 +237,7 @@
         }
 
     def restore(self, limiter: ConcurrencyLimiter) -> None:
-        """Copy the values into a limiter."""
+        """Copy the values into a concurrency limiter."""
         limiter.peak = self.peak
         limiter.cut = self.cut
         limiter.target = self.target
