--- a/tests/gossip/test_codec_properties.py
+++ b/tests/gossip/test_codec_properties.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 
 from gateway.gossip.codec import (
+    INDEX_LIMIT,
     MAX_DATAGRAM_BYTES,
     MAX_ENTRIES,
-    INDEX_LIMIT,
     MAX_OBSERVATIONS,
     EndpointObservation,
     EntryKind,
