--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from gateway.config import load
+from gateway.config import load_config
 from gateway.errors import ConfigError
 from gateway.log_handler import NonBlockingHandler
 from gateway.process import serve
@@ -37,7 +37,7 @@
     # Ignored until the process handles it, as the configuration is about to be read anyway.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
     except ConfigError as error:
         print(f"gateway: {error}", file=sys.stderr)
         return EXIT_CONFIG
--- a/gateway/config.py
+++ b/gateway/config.py
@@ -160,7 +160,7 @@
     return address_from(text, path) if text else None
 
 
-def load(environment: Mapping[str, str]) -> Config:
+def load_config(environment: Mapping[str, str]) -> Config:
     """Return the configuration in the file that BALANCER_CONFIG names.
 
     Raises ConfigError if the file cannot be read or is invalid.
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -9,7 +9,7 @@
 import signal
 from dataclasses import replace
 
-from gateway.config import Config, load
+from gateway.config import Config, load_config
 from gateway.errors import ConfigError
 from gateway.network.admin.endpoint import AdminEndpoint
 from gateway.network.discovery.watch import EndpointWatch
@@ -171,7 +171,7 @@
             # Cleared before the file is read, so that a change during the read causes another one.
             self._reload_requested.clear()
             try:
-                config = await asyncio.to_thread(load, os.environ)
+                config = await asyncio.to_thread(load_config, os.environ)
             except ConfigError as error:
                 log.error("configuration reload failed, keeping the current configuration: %s", error)
             else:
