--- a/gateway/config.py
+++ b/gateway/config.py
@@ -150,7 +150,7 @@
 
 
 def _peers_from(top: JsonObject, gateways: int) -> tuple[Address, ...]:
-    peers = tuple(address_from(peer, "config.peers") for peer in top.words("peers"))
+    peers = tuple(address_from(peer, "config.peers") for peer in top.strings("peers"))
     if peers and len(peers) != gateways:
         raise SettingsError("config.peers", f"{len(peers)} for {gateways} gateways")
     return peers
--- a/gateway/interface/__init__.py
+++ b/gateway/interface/__init__.py
@@ -1,1 +1,1 @@
-"""The interface of the decision package: settings, events and actions."""
+"""The interface of the decision package `gateway.policy`: its settings, events and actions."""
--- a/gateway/interface/actions.py
+++ b/gateway/interface/actions.py
@@ -1,4 +1,8 @@
-"""The actions that the decision package returns. Durations are in milliseconds."""
+"""The actions that the decision package returns, and that its caller carries out.
+
+An `id` is the id of a request. A name that ends in `_by_ms` is a point in time; any other name that ends in
+`_ms` is a duration.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +14,8 @@
 class SendAttempt:
     """Send a request to an endpoint.
 
-    The attempts of a request are numbered from 0 in the order of these actions. The last byte has to be sent
-    before the time `send_by_ms`; otherwise the attempt ends as NOT_SENT.
+    The attempts of a request are numbered from 0 in the order of these actions. If the last byte of the
+    request is not sent before `send_by_ms`, the caller ends the attempt with the result NOT_SENT.
     """
 
     id: int
@@ -22,9 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject a request: a retry by the client is harmless, best after `retry_after_ms` (0 gives no advice).
+    """Reject a request; this is its final answer.
 
-    This is a final answer.
+    The answer tells the client that a retry is harmless, and that it should wait for `retry_after_ms` before
+    the retry; 0 gives no advice.
     """
 
     id: int
@@ -33,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Fail a request, which may have been executed. This is a final answer."""
+    """Fail a request, which may have been executed; this is its final answer."""
 
     id: int
 
@@ -43,12 +48,12 @@
     """Cancel one attempt of a request."""
 
     id: int
-    attempt: int
+    attempt: int  # number of the attempt, from 0
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Request a `TimerFired` event."""
+    """Request a `TimerFired` event with this name; timers cannot be cancelled."""
 
     after_ms: float
     name: str
@@ -58,20 +63,20 @@
 class SendGossip:
     """Send a datagram to another gateway, or to another process of this gateway."""
 
-    receiver: int
+    receiver: int  # number of the gateway
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Send a health check to an endpoint."""
+    """Send a health check to an endpoint; its result is a `HealthChecked` event."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class SubscribeEndpoints:
-    """Subscribe to the updates of the endpoint list."""
+    """Request updates of the endpoint list, which are `EndpointUpdate` events."""
 
 
 Action = (
--- a/gateway/interface/events.py
+++ b/gateway/interface/events.py
@@ -1,6 +1,7 @@
-"""The events that the decision package handles. Times are in milliseconds of the caller's clock.
+"""The events that the decision package handles.
 
-A name that ends in `_at_ms` is a point in time; any other name that ends in `_ms` is a duration.
+An `id` is the id of a request. Times are in milliseconds of the caller's clock. A name that ends in `_at_ms`
+is a point in time; any other name that ends in `_ms` is a duration.
 """
 
 from __future__ import annotations
@@ -12,20 +13,20 @@
 
 
 class AttemptResult(Enum):
-    """The result of an attempt."""
+    """The result of an attempt or of a health check."""
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "overloaded"  # the endpoint refused the request without executing it
+    OVERLOADED = "overloaded"  # the endpoint refused to execute the request
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "not sent"  # the attempt was given up before its last byte was sent
+    NOT_SENT = "not sent"  # the last byte of the request was not sent in time
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether the result proves that the endpoint has not executed the request."""
+        """Whether the result is proof that the endpoint has not executed the request."""
         return self in _NOT_EXECUTED
 
 
@@ -33,7 +34,7 @@
 
 
 class EndpointState(Enum):
-    """The state of an endpoint in the endpoint list; the values are those of the discovery service."""
+    """The state of an endpoint in the endpoint list; the values are those that discovery sends."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -46,13 +47,13 @@
 
     id: str
     zone: str
-    cell: int
+    cell: int  # group of endpoints within the zone
     state: EndpointState
-    weight: float = 1.0
+    weight: float = 1.0  # capacity relative to other endpoints
     started_at_ms: float = 0.0  # when the process started; 0 for long ago
 
     def shares_keys_with(self, other: Endpoint, scope: KeyScope) -> bool:
-        """Return whether both endpoints drop duplicates of the same idempotency keys."""
+        """Return whether both endpoints belong to the same deduplication group under this scope."""
         if scope is KeyScope.ALL:
             return True
         return self.zone == other.zone and (scope is KeyScope.ZONE or self.cell == other.cell)
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An update of the endpoint list: a snapshot of all entries, the changed entries, or a failure."""
+    """An update of the endpoint list: all entries or the changed ones; or the failure of an update."""
 
     endpoints: tuple[Endpoint, ...]
     is_snapshot: bool = True
@@ -71,7 +72,8 @@
 class RequestArrived:
     """A client's request has arrived; it needs exactly one final answer before `deadline_at_ms`.
 
-    The customer's set of gateways are `spread` gateways with consecutive numbers, from `first_gateway` on.
+    The customer's set of gateways is `spread` gateways with consecutive numbers, starting at `first_gateway`.
+    Numbers beyond the last gateway continue at 0.
     """
 
     id: int
@@ -79,23 +81,25 @@
     class_name: str
     plan_name: str
     deadline_at_ms: float
-    units: float = 1.0
+    units: float = 1.0  # units of the quota that the request needs
     first_gateway: int = 0
     spread: int = 1
     is_client_retry: bool = False
-    is_complete: bool = True  # False: the body is incomplete, and RequestCompleted sets the deadline
+    is_complete: bool = (
+        True  # False: the body is still being received, and RequestCompleted sets the deadline
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class BodyReleased:
-    """The start of a large request has been forwarded and discarded; no further attempt is possible."""
+    """The start of a large body was forwarded and is no longer stored; no further attempt is possible."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCompleted:
-    """The last byte of a large request has been received."""
+    """The last byte of a large request has been received, from which its new deadline counts."""
 
     id: int
     deadline_at_ms: float
@@ -103,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streaming response has started; only its attempt can still answer the request."""
+    """The response to an attempt has started streaming; other attempts cannot answer the request any more."""
 
     id: int
     attempt: int
@@ -112,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended; where `final` is set, its request has been answered and has ended as well."""
+    """An attempt has ended; with `final`, its response has been the final answer of the request."""
 
     id: int
     attempt: int
@@ -121,13 +125,13 @@
     result: AttemptResult
     final: bool
     actual_units: float = 0.0
-    used_percent: int = 0  # 1 + percentage of the quota in use; 0 for unknown
+    used_percent: int = 0  # percentage of the quota in use, plus 1; 0 if unknown
     load: tuple[float, ...] = ()  # the endpoint's load report, in the order of Settings.report_fields
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has disconnected; the request needs no answer."""
+    """The client of a request has disconnected; the request needs no answer."""
 
     id: int
 
@@ -143,13 +147,13 @@
 class GossipReceived:
     """A datagram has been received from another gateway, or from another process of this gateway."""
 
-    sender: int
+    sender: int  # number of the gateway
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class HealthChecked:
-    """A health check requested by `CheckHealth` has ended."""
+    """A health check requested by `CheckHealth` has ended; the decision package ignores this event."""
 
     endpoint: str
     elapsed_ms: float
@@ -159,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """The shared counter has replied; the decision package sends it no requests."""
+    """A shared counter has replied; the decision package uses no counter and ignores this event."""
 
     name: str
 
--- a/gateway/interface/settings.py
+++ b/gateway/interface/settings.py
@@ -1,6 +1,7 @@
 """The settings of one gateway: its request classes, plans and limits, and its place in the fleet.
 
-Times are in milliseconds, rates in units per second.
+Times are in milliseconds, and rates of customers in units per second. Prices and costs are in the unit of
+priority weights. Some settings of the platform are read, but not used by this program; their comments say so.
 """
 
 from __future__ import annotations
@@ -10,20 +11,26 @@
 
 from gateway.errors import SettingsError
 
-REPORTED_IN_FLIGHT = "inflight"  # field of a load report: requests in flight at the endpoint
-REPORTED_UTILIZATION = "util"  # field of a load report: utilization of the endpoint, from 0 to 1
+REPORTED_IN_FLIGHT = (
+    "inflight"  # name of the field of a load report with the requests in flight at the endpoint
+)
+REPORTED_UTILIZATION = (
+    "util"  # name of the field of a load report with the endpoint's utilization, from 0 to 1
+)
 
 
 class Idempotency(Enum):
-    """What a second execution of a request does."""
+    """The effect of a second execution of a request."""
 
-    IDEMPOTENT = "idempotent"  # nothing: the request may be executed any number of times
-    WITH_KEY = "with key"  # a group of endpoints drops duplicates of an idempotency key for some time
-    NON_IDEMPOTENT = "non-idempotent"  # harm: the request must not be executed twice
+    IDEMPOTENT = "idempotent"  # none: the request may be executed any number of times
+    WITH_KEY = (
+        "with key"  # none in one deduplication group and window: its endpoints drop duplicates of a key
+    )
+    NON_IDEMPOTENT = "non-idempotent"  # harmful: the request must not be executed twice
 
 
 class KeyScope(Enum):
-    """The group of endpoints that drop duplicates of the same idempotency keys."""
+    """The endpoints that share a record of idempotency keys: all, those of a zone, or those of a cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,24 +39,27 @@
 
 def _require_at_least(minimum: float, **values: float) -> None:
     for name, value in values.items():
-        if not value >= minimum:  # True for NaN as well
-            raise SettingsError(name, f"{value!r} is below {minimum}")
+        if not value >= minimum:  # unlike `value < minimum`, this is true for NaN
+            raise SettingsError(name, f"expected at least {minimum}, received {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests. Raises SettingsError for an invalid value."""
+    """A class of requests, with its latency objective and the terms of retries.
+
+    Raises SettingsError for an invalid value.
+    """
 
     name: str
-    latency_objective_ms: float  # responses within this time have the full weight
+    latency_objective_ms: float  # a response within this time has the full priority weight
     deadline_ms: float  # maximum time for which a client waits
-    priority_weight: float
+    priority_weight: float  # value of a response within the objective
     idempotency: Idempotency
-    late_weight: float = 0.0  # weight of a response after the objective
+    late_weight: float = 0.0  # value of a response after the objective, in the same unit
     key_scope: KeyScope = KeyScope.ALL
     deduplication_window_ms: float = 0.0  # time for which endpoints remember an idempotency key
-    streamed: bool = False
-    objective_stretch: float = 0.0
+    streamed: bool = False  # responses are streams, which may end after the deadline; read, but not used
+    objective_stretch: float = 0.0  # read, but not used
 
     def __post_init__(self) -> None:
         """Raise SettingsError for an invalid value."""
@@ -62,26 +72,26 @@
             deduplication_window_ms=self.deduplication_window_ms,
         )
         if not isinstance(self.idempotency, Idempotency):
-            raise SettingsError("idempotency", f"{self.idempotency!r} is no Idempotency")
+            raise SettingsError("idempotency", f"expected an Idempotency, received {self.idempotency!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan: the quota that each of its customers has over all gateways, and the terms of overage.
+    """A plan: the quota of each of its customers over all gateways, its ceiling and the terms of overage.
 
     Raises SettingsError for an invalid value.
     """
 
     name: str
-    rate_per_s: float = 0.0  # quota on the rate; 0 for none
-    burst: float = 0.0  # units that the quota's bucket holds
-    max_in_flight: int = 0  # quota on requests in flight; 0 for none
-    weight_factor: float = 1.0  # factor of the class's priority weight
-    overage_weight: float = 0.0  # factor of the weight of a request beyond the quota
-    overage_cost: float = 0.0  # cost of a request beyond the quota, in the unit of weights
-    ceiling_per_s: float = 0.0  # rate that must never be exceeded; 0 for none
-    ceiling_burst: float = 0.0  # units that the ceiling's bucket holds
-    ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded
+    rate_per_s: float = 0.0  # quota on the rate; 0: no such quota
+    burst: float = 0.0  # capacity of the quota's token bucket, in units
+    max_in_flight: int = 0  # quota on requests in flight; 0: no such quota
+    weight_factor: float = 1.0  # factor by which the class's priority weight is multiplied
+    overage_weight: float = 0.0  # factor of the weight for a request beyond the quota
+    overage_cost: float = 0.0  # cost of a request beyond the quota, in the unit of overage_weight
+    ceiling_per_s: float = 0.0  # rate that must never be exceeded; 0: no ceiling
+    ceiling_burst: float = 0.0  # capacity of the ceiling's token bucket, in units
+    ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded; read, but not used
 
     def __post_init__(self) -> None:
         """Raise SettingsError for an invalid value."""
@@ -101,7 +111,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a gateway. Raises SettingsError for an invalid value."""
+    """The settings of one gateway.
+
+    Raises SettingsError for an invalid value.
+    """
 
     gateways: int  # number of gateways in the fleet
     gateway_number: int  # number of this gateway, from 0
@@ -109,33 +122,33 @@
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     slow_start_ms: float  # time that an endpoint takes to reach its full capacity
-    slow_start_floor: float  # fraction of its capacity with which an endpoint starts
-    overload_multiple: float  # multiple of its capacity that makes an endpoint in slow start fail permanently
-    overload_window_ms: float  # time for which an endpoint has to exceed that multiple to fail
-    max_attempts: int  # maximum number of attempts for a request
+    slow_start_floor: float  # fraction of its capacity that an endpoint has when it starts
+    overload_multiple: float  # multiple of its capacity at which an endpoint in slow start fails permanently
+    overload_window_ms: float  # time for which an endpoint has to exceed overload_multiple to fail
+    max_attempts: int  # maximum number of attempts of a request, with retries and hedges
     tick_ms: float = 1.0  # resolution of the caller's timers
-    max_units: float = 1.0  # maximum units of a request
-    may_cancel: bool = True
-    may_gossip: bool = False
-    may_check_health: bool = False
-    may_hedge: bool = False
-    must_subscribe: bool = False  # endpoint updates have to be requested
-    post_paid: bool = False
-    max_retry_after_ms: float = 0.0  # upper bound of Retry-After; 0 where clients ignore it
-    gossip_inbox_per_s: float = 0.0  # messages per second that a gateway's inbox holds; 0 for no limit
-    poll_within_ms: float = 10_000.0  # interval within which endpoint updates have to be requested
+    max_units: float = 1.0  # maximum number of units that a request may need
+    may_cancel: bool = True  # CancelAttempt actions are permitted
+    may_gossip: bool = False  # SendGossip actions are permitted
+    may_check_health: bool = False  # CheckHealth actions are permitted; read, but not used
+    may_hedge: bool = False  # a second attempt beside one in flight is permitted
+    must_subscribe: bool = False  # endpoint updates have to be requested by SubscribeEndpoints actions
+    post_paid: bool = False  # read, but not used
+    max_retry_after_ms: float = 0.0  # maximum Retry-After of a rejection; 0 if clients ignore Retry-After
+    gossip_inbox_per_s: float = 0.0  # datagrams per second that a gateway can receive; 0: no limit
+    poll_within_ms: float = 10_000.0  # maximum time between two requests for endpoint updates
     drain_grace_ms: float = 1000.0  # time for which a draining endpoint still accepts new requests
-    report_how: str = "none"
-    report_fields: tuple[str, ...] = ()  # fields of a load report
-    cross_zone_price: float = 0.0
-    peer_price: float = 0.0
+    report_how: str = "none"  # how endpoints send load reports; read, but not used
+    report_fields: tuple[str, ...] = ()  # names of the values of a load report, in their order
+    cross_zone_price: float = 0.0  # read, but not used
+    peer_price: float = 0.0  # read, but not used
 
     def __post_init__(self) -> None:
         """Raise SettingsError for an invalid value."""
         if not self.classes:
-            raise SettingsError("classes", "there are none")
+            raise SettingsError("classes", "expected at least one class, received none")
         if not self.plans:
-            raise SettingsError("plans", "there are none")
+            raise SettingsError("plans", "expected at least one plan, received none")
         _require_at_least(1, gateways=self.gateways, max_attempts=self.max_attempts)
         _require_at_least(
             0,
@@ -150,5 +163,6 @@
         )
         if self.gateway_number >= self.gateways:
             raise SettingsError(
-                "gateway_number", f"{self.gateway_number} is not below gateways ({self.gateways})"
+                "gateway_number",
+                f"expected a number below gateways ({self.gateways}), received {self.gateway_number}",
             )
--- a/gateway/interface/settings_reader.py
+++ b/gateway/interface/settings_reader.py
@@ -1,6 +1,6 @@
-"""Reads the settings in the platform's JSON into the types of `gateway.interface.settings`.
+"""Reads the settings in the platform's JSON format into the types of `gateway.interface.settings`.
 
-The tables in this module are the only place that maps the platform's keys to the names of the settings.
+Only the tables in this module map the platform's keys to the names of the settings.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from gateway.interface.json_object import JsonObject
 from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 
-_SUBSCRIBE = "subscribe"  # value of the key for the way in which endpoint updates are received
-_RETRY_AFTER_KEY = "retryAfter"  # flag without which no Retry-After is permitted
+_SUBSCRIBE = "subscribe"  # value of the key "discovery": endpoint updates have to be requested
+_RETRY_AFTER_KEY = "retryAfter"  # flag: clients heed Retry-After
 
 _IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
@@ -47,25 +47,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _Field:
-    """How one setting is read: its name, its key, the method that reads it, and the fallback."""
+    """The mapping of one setting: its name and key, and the function that reads its value."""
 
     name: str
     key: str
-    read: Callable[..., object]  # called with the object, the key and the fallback, if there is one
-    fallback: object = None  # None: the key is required
+    read: Callable[..., object]  # its arguments: the object, the key, and the fallback if there is one
+    fallback: object = None  # value for a missing key; None: the key is required
     section: _Section = _Section.TOP
 
     def value(self, row: JsonObject) -> object:
-        """Read the setting; raises SettingsError."""
+        """Return the value of the setting in an object; raises SettingsError if it is missing or invalid."""
         if self.fallback is None:
             return self.read(row, self.key)
         return self.read(row, self.key, self.fallback)
 
 
 def settings_from(value: object, path: str = "info") -> Settings:
-    """Return the settings in a JSON object; unknown keys are ignored.
+    """Return the settings in a parsed JSON object; unknown keys are ignored.
 
-    Raises SettingsError where a key is missing or a value is invalid.
+    `path` is the path of the object in its document, for error texts. Raises SettingsError if a required key
+    is missing or a value is invalid.
     """
     top = JsonObject(value, path)
     sections = {section: _section_of(top, section) for section in _Section}
@@ -86,7 +87,7 @@
 def _choice(row: JsonObject, key: str, choices: Mapping[str, _Choice], fallback: str | None) -> _Choice:
     word = row.text(key, fallback)
     if word not in choices:
-        raise SettingsError(f"{row.path}.{key}", f"{word!r} is not one of {', '.join(choices)}")
+        raise SettingsError(f"{row.path}.{key}", f"expected one of {', '.join(choices)}, received {word!r}")
     return choices[word]
 
 
@@ -164,7 +165,7 @@
     _Field("max_retry_after_ms", "maxRetryAfterMs", _max_retry_after_ms, 0.0, _Section.LIMITS),
     _Field("gossip_inbox_per_s", "inboxPerS", JsonObject.number, 0.0, _Section.DOMAIN),
     _Field("report_how", "how", JsonObject.text, "none", _Section.REPORT),
-    _Field("report_fields", "fields", JsonObject.words, section=_Section.REPORT),
+    _Field("report_fields", "fields", JsonObject.strings, section=_Section.REPORT),
     _Field("cross_zone_price", "crossZone", JsonObject.number, 0.0, _Section.PENALTIES),
     _Field("peer_price", "peer", JsonObject.number, 0.0, _Section.PENALTIES),
 )
