--- a/gateway/config.py
+++ b/gateway/config.py
@@ -1,6 +1,6 @@
-"""The configuration: the environment and the platform's JSON file, translated into typed settings.
+"""The configuration of a process, read from the environment and the platform's JSON file.
 
-The keys of the file are used here and in `gateway.interface.settings_reader` only.
+Only this module and `gateway.interface.settings_reader` use the keys of the file.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from gateway.interface.settings import Settings
 from gateway.interface.settings_reader import settings_from
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host and port
 _STATES = {state.value: state for state in EndpointState}
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One entry of the endpoint list: the endpoint, and the address at which it listens."""
+    """One entry of the endpoint list, with the address at which the endpoint listens."""
 
     endpoint: Endpoint
     address: Address
@@ -32,49 +32,51 @@
 class EndpointList:
     """A snapshot of the endpoint list, or the entries that have changed."""
 
-    index: int  # version of the list
+    index: int  # version of the list; discovery sends changes since an index
     is_snapshot: bool
-    entries: tuple[EndpointEntry, ...]
+    entries: tuple[EndpointEntry, ...]  # all entries in a snapshot, otherwise the changed ones
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
     """The configuration of one process."""
 
-    name: str
-    listen: Address
-    discovery: Address
-    seed: int  # of all random numbers
+    name: str  # name of this gateway
+    listen: Address  # for clients
+    discovery: Address  # of the discovery service
+    seed: int  # seed of all random numbers
     max_descriptors: int  # limit on the descriptors that the process may open
-    settings: Settings
-    connect_timeout_ms: float
+    settings: Settings  # of the decision package
+    connect_timeout_ms: float  # for connections to endpoints
     endpoint_idle_timeout_ms: float  # time after which an endpoint closes an idle connection
     initial_endpoints: EndpointList  # used until discovery sends its first list
-    peer_listen: Address | None
-    peers: tuple[Address, ...]  # all gateways of the fleet, by number
+    peer_listen: Address | None  # for datagrams of other gateways
+    peers: tuple[Address, ...]  # addresses of all gateways of the fleet, by gateway number
     peer_broadcast: Address | None  # a datagram to this address reaches all other gateways
     admin_listen: Address | None = None  # address of the admin endpoint; None: there is no admin endpoint
     socket_folder: str = ""  # folder of the socket file for hot restarts; empty: no hot restarts
 
     @property
     def shares_addresses(self) -> bool:
-        """Whether a successor may bind the same addresses while this process runs."""
+        """Whether a successor may bind the same addresses while this process runs, for a hot restart."""
         return bool(self.socket_folder)
 
 
 def address_from(text: object, path: str) -> Address:
-    """Return host and port of 'host:port'; raises SettingsError with the path."""
+    """Return the host and the port of 'host:port'; raises SettingsError, with the path, if it is invalid."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise SettingsError(path, f"{text!r} is no address")
+        raise SettingsError(path, f"expected 'host:port' with a port from 1 to 65535, received {text!r}")
     return host, int(port)
 
 
 def endpoint_entry_from(row: JsonObject) -> EndpointEntry:
-    """Return one entry of a list in discovery's format; raises SettingsError."""
+    """Return one entry of a list in discovery's format; raises SettingsError if it is malformed."""
     status = row.text("status")
     if status not in _STATES:
-        raise SettingsError(f"{row.path}.status", f"{status!r} is no status")
+        raise SettingsError(
+            f"{row.path}.status", f"expected one of {', '.join(_STATES)}, received {status!r}"
+        )
     endpoint = Endpoint(
         row.text("name"),
         row.text("zone", ""),
@@ -87,36 +89,38 @@
 
 
 def endpoint_list_from(
-    value: object, path: str, skipped: Callable[[SettingsError], None] | None = None
+    value: object, path: str, on_invalid_entry: Callable[[SettingsError], None] | None = None
 ) -> EndpointList:
-    """Return a list in discovery's format; raises SettingsError if it is malformed.
+    """Return a list in discovery's format; raises SettingsError, with the path, if it is malformed.
 
-    With `skipped`, a malformed entry is reported there and left out, which ends the use of the endpoint.
+    With `on_invalid_entry`, the error of a malformed entry is passed to that function, and the entry is left
+    out. In a snapshot, this ends the use of the endpoint.
     """
     top = JsonObject(value, path)
     entries = []
-    for number, row in enumerate(top.array("endpoints")):
+    for index, row in enumerate(top.array("endpoints")):
         try:
-            entries.append(endpoint_entry_from(JsonObject(row, f"{path}.endpoints[{number}]")))
+            entries.append(endpoint_entry_from(JsonObject(row, f"{path}.endpoints[{index}]")))
         except SettingsError as error:
-            if skipped is None:
+            if on_invalid_entry is None:
                 raise
-            skipped(error)
+            on_invalid_entry(error)
     return EndpointList(int(top.number("index")), top.flag("snapshot", False), tuple(entries))
 
 
 def config_from(value: object, environment: Mapping[str, str]) -> Config:
-    """Return the configuration in a JSON object; the environment provides what the object lacks.
+    """Return the configuration in a parsed JSON object.
 
-    Raises SettingsError.
+    The environment provides the name and the addresses that the object lacks. Raises SettingsError if a
+    required key is missing or a value is invalid.
     """
     top = JsonObject(value, "config")
-    settings = top.object("settings")
-    limits = settings.object("limits")
-    own = settings_from(settings.value, "config.settings")
+    settings_object = top.object("settings")
+    limits = settings_object.object("limits")
+    settings = settings_from(settings_object.value, "config.settings")
     seed = _seed_from(top)
-    peers = _peers_from(top, own.gateways)
-    control = top.text("control", environment.get("BALANCER_CONTROL", ""))
+    peers = _peers_from(top, settings.gateways)
+    admin_listen = top.text("control", environment.get("BALANCER_CONTROL", ""))
     peer_listen = top.text("peer_listen", "")
     peer_broadcast = top.text("peers_all", "")
     return Config(
@@ -127,7 +131,7 @@
         ),
         seed=seed,
         max_descriptors=int(top.object("limits", {}).number("sockets", 1024.0)),
-        settings=own,
+        settings=settings,
         connect_timeout_ms=limits.number("dialTimeoutMs", 250.0),
         endpoint_idle_timeout_ms=limits.number("connIdleMs", 15_000.0),
         initial_endpoints=endpoint_list_from(
@@ -136,7 +140,7 @@
         peer_listen=_optional_address_from(peer_listen, "config.peer_listen"),
         peers=peers,
         peer_broadcast=_optional_address_from(peer_broadcast, "config.peers_all"),
-        admin_listen=_optional_address_from(control, "config.control"),
+        admin_listen=_optional_address_from(admin_listen, "config.control"),
         socket_folder=environment.get("TMPDIR", ""),
     )
 
@@ -146,13 +150,15 @@
     try:
         return int(seed, 16)
     except ValueError as error:
-        raise SettingsError("config.seed", f"{seed!r} is no hex number") from error
+        raise SettingsError("config.seed", f"expected a hexadecimal number, received {seed!r}") from error
 
 
 def _peers_from(top: JsonObject, gateways: int) -> tuple[Address, ...]:
     peers = tuple(address_from(peer, "config.peers") for peer in top.strings("peers"))
     if peers and len(peers) != gateways:
-        raise SettingsError("config.peers", f"{len(peers)} for {gateways} gateways")
+        raise SettingsError(
+            "config.peers", f"expected an address for each of {gateways} gateways, received {len(peers)}"
+        )
     return peers
 
 
@@ -161,13 +167,13 @@
 
 
 def load_config(environment: Mapping[str, str]) -> Config:
-    """Return the configuration in the file that BALANCER_CONFIG names.
+    """Return the configuration in the file whose path the variable BALANCER_CONFIG contains.
 
-    Raises ConfigError if the file cannot be read or is invalid.
+    Raises ConfigError if the variable is not set, or if the file cannot be read or is invalid.
     """
     path = environment.get("BALANCER_CONFIG")
     if not path:
-        raise ConfigError("BALANCER_CONFIG is not set")
+        raise ConfigError("BALANCER_CONFIG is not set: expected the path of the configuration file")
     try:
         return config_from(json.loads(Path(path).read_text(encoding="utf-8")), environment)
     except OSError as error:
