--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -13,7 +13,7 @@
 FOUR_OBSERVATIONS = [codec.observation_of(f"s{n}", n, ratio) for n, ratio in enumerate(RATIOS)]
 
 
-def test_unreadable_datagrams_change_nothing():
+def test_invalid_datagrams_have_no_effect():
     controller = new_controller()
     controller.handle(1000, [SIX_ENDPOINTS])
     good = codec.encode(5, 1.0, [quota_entry(EntryKind.USED, units=4)], [])
@@ -29,7 +29,9 @@
         assert not sends_in(controller.handle(1001, [GossipReceived(1, data)]))
     controller.handle(1001, [GossipReceived(9, good), GossipReceived(0, good)])
     assert not controller.flow.leader.buckets and not controller.flow.open
-    controller.handle(1001, [GossipReceived(1, good), GossipReceived(1, good)])  # a duplicate counts once
+    controller.handle(
+        1001, [GossipReceived(1, good), GossipReceived(1, good)]
+    )  # the units of a duplicate are drawn once
     bucket = controller.flow.leader.buckets[quota_entry(EntryKind.REQUEST).bucket_id]
     assert bucket.quota_level == pytest.approx(12 - 4, abs=0.1)
 
@@ -49,8 +51,8 @@
     assert ratios == [0.25, 1.0, 2.0, float("inf")]
 
 
-def test_values_out_of_range_are_left_out_of_a_message():
-    """A datagram has room for the indexes of 16 classes and 16 plans."""
+def test_entries_and_observations_with_indexes_out_of_range_are_omitted():
+    """Indexes have four bits in a datagram, so the greatest one is 15."""
     entry = codec.QuotaEntry(EntryKind.REQUEST, 7, 3, 1.0, 2.0, 1, 2)
     sent_entries = [entry._replace(class_index=16), entry, entry._replace(plan_index=16)]
     sent_observations = [codec.observation_of("s", 16, 1.0), codec.observation_of("s", 15, 1.0)]
@@ -59,7 +61,7 @@
     assert [observation.class_index for observation in message.observations] == [15]
 
 
-def test_controller_with_more_classes_than_a_message_holds_serves_all():
+def test_controller_serves_more_classes_than_a_datagram_can_index():
     classes = tuple(RequestClass(f"k{n}", 600, 1500, 2, Idempotency.IDEMPOTENT) for n in range(20))
     controller = new_controller(classes=classes)
     controller.handle(1000, [SIX_ENDPOINTS])
--- a/tests/gossip/test_codec_properties.py
+++ b/tests/gossip/test_codec_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the codec that hold for all inputs."""
+"""Property tests of the codec of datagrams."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -43,7 +43,7 @@
 
 @settings(deadline=None, max_examples=100)
 @given(MESSAGES)
-def test_message_is_decoded_as_it_was_encoded(message):
+def test_message_is_unchanged_by_encoding_and_decoding(message):
     data = encode(*message)
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert decode(data) == message
@@ -51,7 +51,7 @@
 
 @settings(deadline=None, max_examples=100)
 @given(st.lists(ENTRIES, max_size=3 * MAX_ENTRIES), st.lists(OBSERVATIONS, max_size=3 * MAX_OBSERVATIONS))
-def test_surplus_entries_and_observations_are_omitted(entries, observations):
+def test_entries_and_observations_beyond_the_capacity_of_a_datagram_are_omitted(entries, observations):
     message = decode(encode(1, 0.0, entries, observations))
     assert message.entries == tuple(entries[:MAX_ENTRIES])
     assert message.observations == tuple(observations[:MAX_OBSERVATIONS])
@@ -59,7 +59,7 @@
 
 @settings(deadline=None, max_examples=200)
 @given(st.sampled_from([b"", b"\x02"]), st.binary(max_size=MAX_DATAGRAM_BYTES + 8))
-def test_any_bytes_are_a_message_or_none(version, data):
+def test_any_bytes_are_decoded_to_none_or_to_a_message_that_can_be_encoded(version, data):
     message = decode(version + data)
     if message is not None:
         entries = message.entries[:MAX_ENTRIES]
@@ -69,7 +69,7 @@
 
 @settings(deadline=None, max_examples=100)
 @given(MESSAGES, st.data())
-def test_datagram_cut_within_its_entries_is_invalid(message, data):
+def test_datagram_truncated_within_its_entries_is_invalid(message, data):
     datagram = encode(*message)
     end_of_entries = len(datagram) - 3 * len(message.observations)
     length = data.draw(st.integers(0, end_of_entries - 1))
@@ -78,6 +78,6 @@
 
 @settings(deadline=None, max_examples=100)
 @given(st.floats(0.25, 32.0))
-def test_observed_latency_is_exact_to_a_quarter_of_a_doubling(ratio):
+def test_error_of_an_observed_latency_is_at_most_a_quarter_of_a_doubling(ratio):
     observed = latency_ratio_of(observation_of("endpoint", 0, ratio))
     assert 2**-0.2501 <= observed / ratio <= 2**0.2501
--- a/tests/interface/test_json_object.py
+++ b/tests/interface/test_json_object.py
@@ -30,7 +30,7 @@
         (lambda: VALUES.object("missing", {}).value, {}),
     ],
 )
-def test_value_of_the_expected_type_is_returned(read, value):
+def test_value_of_the_expected_type_or_fallback_is_returned(read, value):
     assert read() == value
 
 
@@ -54,6 +54,6 @@
         (lambda: JsonObject([], "top"), "top: expected an object, received a value of type list"),
     ],
 )
-def test_missing_value_and_value_of_another_type_are_reported_by_their_path(read, error):
+def test_missing_or_malformed_value_raises_an_error_with_its_path(read, error):
     with pytest.raises(SettingsError, match=f"^{error}$"):
         read()
--- a/tests/interface/test_settings_reader.py
+++ b/tests/interface/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Tests of the checks of settings, plans and classes."""
+"""Tests of the validation of settings, plans and classes."""
 
 import pytest
 from support.policy_settings import settings
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bad", "key"),
+    ("invalid", "name"),
     [
         (dict(classes=()), "classes"),
         (dict(plans=()), "plans"),
@@ -17,12 +17,12 @@
         (dict(slow_start_ms=-1), "slow_start_ms"),
     ],
 )
-def test_invalid_settings_are_reported(bad, key):
-    with pytest.raises(ValueError, match=key):
-        settings(**bad)
+def test_invalid_setting_raises_an_error_with_its_name(invalid, name):
+    with pytest.raises(ValueError, match=name):
+        settings(**invalid)
 
 
-def test_invalid_plans_and_classes_are_reported():
+def test_invalid_plan_or_class_raises_an_error_with_the_name_of_the_field():
     with pytest.raises(ValueError, match="rate_per_s"):
         Plan("p", rate_per_s=-1)
     with pytest.raises(ValueError, match="idempotency"):
--- a/tests/policy/gossip/test_outbox.py
+++ b/tests/policy/gossip/test_outbox.py
@@ -1,4 +1,4 @@
-"""Tests of the entries that wait for the next datagram to a gateway."""
+"""Tests of the outbox of quota entries."""
 
 import pytest
 
@@ -7,11 +7,12 @@
 
 
 def entries(count):
-    return [QuotaEntry(EntryKind.REQUEST, 1, number, 1.0, 0.0, 0, 0) for number in range(count)]
+    """Return quota entries with consecutive lease ids, starting at 0."""
+    return [QuotaEntry(EntryKind.REQUEST, 1, lease_id, 1.0, 0.0, 0, 0) for lease_id in range(count)]
 
 
 def outbox_with(counts):
-    """Return an outbox with this many entries for each gateway."""
+    """Return an outbox; `counts` is the number of entries by gateway."""
     outbox = EntryOutbox()
     for gateway, count in counts.items():
         for entry in entries(count):
@@ -24,7 +25,7 @@
     assert list(EntryOutbox()) == []
 
 
-def test_message_has_the_entries_of_its_gateway_in_their_order():
+def test_message_contains_the_entries_for_its_gateway_in_order():
     outbox = outbox_with({3: 2, 1: 1})
     assert list(outbox) == [3, 1]
     (message,) = outbox.take_messages([3])
@@ -33,7 +34,7 @@
     assert list(outbox) == [1]
 
 
-def test_entries_beyond_a_message_stay_queued():
+def test_entries_beyond_the_capacity_of_a_message_stay_queued():
     outbox = outbox_with({2: MAX_ENTRIES + 3})
     (first,) = outbox.take_messages([2])
     assert outbox
@@ -43,6 +44,6 @@
     assert len(first.entries) == MAX_ENTRIES
 
 
-def test_gateway_without_entries_is_an_error():
+def test_taking_a_message_for_a_gateway_without_entries_raises_key_error():
     with pytest.raises(KeyError):
         EntryOutbox().take_messages([5])
--- a/tests/policy/gossip/test_pace.py
+++ b/tests/policy/gossip/test_pace.py
@@ -1,4 +1,4 @@
-"""Tests of the pace and the content of datagrams to other gateways."""
+"""Tests of the times and the entries of datagrams to other gateways."""
 
 from support.policy_events import (
     SIX_ENDPOINTS,
@@ -14,7 +14,7 @@
 from gateway.interface.events import GossipReceived, RequestArrived, TimerFired
 
 
-def test_only_the_leader_is_notified_and_only_of_changes():
+def test_datagrams_are_sent_only_to_the_quota_leader_and_only_with_entries():
     controller = new_controller(gateway_number=(leader_of("c") + 1) % 3)
     controller.handle(1000, [SIX_ENDPOINTS])
     receivers = []
@@ -25,7 +25,7 @@
     assert set(receivers) == {leader_of("c")} and len(receivers) <= 4
 
 
-def test_busy_gateways_do_not_fill_each_others_inboxes():
+def test_gateway_with_a_busy_inbox_limits_its_datagrams_to_each_peer():
     controller = new_controller(gateways=4, gateway_number=0, gossip_inbox_per_s=40)
     receivers = []
     controller.handle(1000, [SIX_ENDPOINTS])
@@ -34,14 +34,14 @@
             RequestArrived(serial, f"c{serial}", "look", "rated", now + 1500.0, 1, 0, 4),
             TimerFired("agenda"),
         ]
-        if now % 100 == 0:  # the other gateways send as many
+        if now % 100 == 0:  # the other gateways send 10 datagrams per second each
             events += [GossipReceived(other, codec.encode(1, 1.0, [], [])) for other in (1, 2, 3)]
         datagrams = datagrams_in(controller.handle(now, events))
         receivers += [datagram.receiver for datagram in datagrams if now >= 3000]
     assert 0 < max(receivers.count(other) for other in (1, 2, 3)) <= 3 * 40 / 3
 
 
-def test_entries_beyond_one_message_go_with_the_next():
+def test_entries_beyond_the_capacity_of_a_datagram_are_sent_in_the_next_ones():
     controller = new_controller(gateway_number=(leader_of("c") + 1) % 3)
     actions = controller.handle(1000, [SIX_ENDPOINTS, *(arrival(n, "seat") for n in range(1, 51))])
     lease_ids = []
--- a/tests/policy/quota/test_ceilings.py
+++ b/tests/policy/quota/test_ceilings.py
@@ -1,4 +1,4 @@
-"""Tests of the ceilings of customers, which hold over all gateways."""
+"""Tests of customers' ceilings, which must hold over all gateways and restarts."""
 
 import pytest
 from support.policy_events import SIX_ENDPOINTS, arrival, attempt_ended, leader_of, new_controller, sends_in
@@ -9,8 +9,8 @@
 from gateway.policy.controller import Controller
 
 
-class Ceiling:
-    """The bucket that the rules allow customer k of the plan capped."""
+class ReferenceCeiling:
+    """The token bucket of the whole ceiling of the plan "capped": 16 units per second, at most 32 units."""
 
     def __init__(self, now):
         self.level = 32.0
@@ -22,15 +22,16 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40])
-def test_ceiling_holds_however_often_its_leader_restarts(gateways):
-    """Each incarnation of the leader serves for a second and pauses for 1.6 s.
+def test_ceiling_holds_when_the_quota_leader_restarts_repeatedly(gateways):
+    """Each incarnation of the leader serves for 1 s, and the next one starts 1.6 s later.
 
-    Its first one may grant what the ceiling allows beyond the quota.
+    A new leader process does not know what the one before it granted, and must not grant it again. At once it
+    may grant only what the ceiling allows beyond the quota.
     """
     number = leader_of("k", spread=min(3, gateways))
     now = 100_000.0
     granted = []
-    ceiling = Ceiling(now)
+    ceiling = ReferenceCeiling(now)
     for incarnation in range(6):
         controller = Controller(settings(gateway_number=number, gateways=gateways), incarnation)
         events = [SIX_ENDPOINTS]
@@ -44,11 +45,11 @@
             request_id = 1000 * incarnation + after
             events += [RequestArrived(request_id, "k", "seat", "capped", now + after + 900, 1, 0, 3)]
         now += 2600
-    assert sum(granted[:25]) >= 13  # in 0.5 s: 8 that are sure at the start, and 6 of the refill
+    assert sum(granted[:25]) >= 13  # in the first 0.5 s: 8 units at once, and 6 units of the refill
 
 
-def test_ceiling_beside_an_in_flight_quota_starts_empty():
-    """A quota of requests in flight does not bound the requests forwarded before the start."""
+def test_ceiling_of_a_plan_with_a_quota_in_flight_starts_empty():
+    """A quota in flight does not limit how many units a previous process may have granted."""
     plans = (Plan("capped", max_in_flight=4, ceiling_per_s=4, ceiling_burst=40, ceiling_slack=2),)
     controller = new_controller(gateway_number=leader_of("k"), plans=plans)
     controller.handle(1000, [SIX_ENDPOINTS])
@@ -56,7 +57,7 @@
     assert sends_in(controller.handle(1400, [TimerFired("agenda")]))
 
 
-def test_ceiling_fills_from_the_gateways_start():
+def test_leaders_ceiling_fills_from_the_start_of_the_gateway():
     controller = new_controller(gateway_number=leader_of("k"))
     controller.handle(1000, [SIX_ENDPOINTS])
     now = 1000.0
@@ -67,8 +68,8 @@
     assert len(sends_in(controller.handle(4001, burst))) == 10
 
 
-def test_local_share_of_a_ceiling_fills_from_the_gateways_start():
-    """Its quota leader is silent, and optimistic admission does not wait for the ceiling."""
+def test_local_fraction_of_a_ceiling_fills_from_the_start_of_the_gateway():
+    """The quota leader is silent; the ceiling's local bucket has filled and permits optimistic admission."""
     controller = new_controller(gateway_number=(leader_of("k") + 1) % 3)
     now = 1000.0
     sent = []
@@ -80,17 +81,17 @@
     assert 7000 < now < 7500
 
 
-def test_leader_can_grant_all_of_a_quota_under_a_ceiling():
+def test_leader_grants_the_whole_quota_of_a_plan_with_a_ceiling():
     plan = Plan("capped", 4, 12, ceiling_per_s=7.6, ceiling_burst=22.8, ceiling_slack=2)
     controller = new_controller(gateway_number=leader_of("k"), plans=(plan,))
     sent = 0
-    serial = 0
+    request_id = 0
     now = 1000.0
     controller.handle(now, [SIX_ENDPOINTS])
     while now < 24_000:
         now += 50
-        serial += 1
-        events = [arrival(serial, "seat", "capped", now + 2000, "k")] if now > 4000 else []
+        request_id += 1
+        events = [arrival(request_id, "seat", "capped", now + 2000, "k")] if now > 4000 else []
         for send in sends_in(controller.handle(now, [*events, TimerFired("agenda")])):
             sent += 1
             controller.handle(now, [attempt_ended(send, AttemptResult.OK)])
--- a/tests/policy/quota/test_leader.py
+++ b/tests/policy/quota/test_leader.py
@@ -1,4 +1,4 @@
-"""Tests of the buckets that a quota leader keeps, and of its replies to lease requests."""
+"""Tests of the quota leader's buckets and of its replies to lease requests."""
 
 from support.policy_events import (
     SIX_ENDPOINTS,
@@ -20,10 +20,11 @@
 
 
 def datagram_of(*entries):
+    """Return a datagram of another gateway with these entries."""
     return codec.encode(1, 1.0, list(entries), [])
 
 
-def test_in_flight_quota_holds_over_all_gateways():
+def test_quota_in_flight_is_shared_by_all_gateways():
     number = leader_of("o")
     peer = (number + 1) % 3
     controller = new_controller(gateway_number=number)
@@ -35,8 +36,8 @@
     assert len(sends_in(controller.handle(1002, [GossipReceived(peer, returned)]))) == 1
 
 
-def test_leader_grants_no_more_than_the_quota_to_all_gateways():
-    """The lease request of each of 300 gateways arrives twice."""
+def test_repeated_lease_requests_of_all_gateways_draw_no_more_than_the_quota():
+    """Each of 299 gateways sends its lease request twice; the repetition must not draw units."""
     controller = new_controller(gateways=300, gateway_number=7)
     controller.handle(1000, [SIX_ENDPOINTS])
     request = quota_entry(EntryKind.REQUEST, serial=9)
@@ -46,13 +47,13 @@
         for datagram in datagrams_in(controller.handle(1001 + peer / 100, [received, received])):
             kinds = [entry.kind for entry in entries_in([datagram])]
             granted |= {datagram.receiver} if EntryKind.GRANT in kinds else set()
-    # The class has half of the highest weight, so two fifths of the burst stay reserved for that weight.
+    # Weight 2 is half of the highest weight, so that 0.8 * 0.5 of the burst of 12 units stays reserved.
     assert 6 <= len(granted) <= 8
     assert 4.8 <= controller.flow.leader.buckets[request.bucket_id].quota_level < 5.9
 
 
-def granted_leases(kind, class_index):
-    """Return how many of 15 lease requests of one kind and class a leader grants at once."""
+def count_grants(kind, class_index):
+    """Return how many of 15 lease requests of this kind and class a leader with a full bucket grants."""
     controller = new_controller(gateways=300, gateway_number=7)
     controller.handle(1000, [SIX_ENDPOINTS])
     requests = [quota_entry(kind, serial=n, class_index=class_index) for n in range(1, 16)]
@@ -60,13 +61,13 @@
     return len(controller.flow.leader.buckets[requests[0].bucket_id].grant_times_ms)
 
 
-def test_client_retry_leaves_a_reserve_for_first_attempts():
-    """The retries are of a class of less weight; the first attempts have the highest one."""
-    assert granted_leases(EntryKind.RETRY_REQUEST, 0) <= 7
-    assert granted_leases(EntryKind.REQUEST, 1) >= 11
+def test_lease_requests_for_client_retries_leave_a_reserve_for_first_attempts():
+    """The retries have weight 0; the first attempts belong to the class with the highest weight."""
+    assert count_grants(EntryKind.RETRY_REQUEST, 0) <= 7
+    assert count_grants(EntryKind.REQUEST, 1) >= 11
 
 
-def test_hopeless_lease_request_is_denied_as_soon_as_it_is_certain():
+def test_lease_request_that_would_expire_in_the_queue_is_denied_at_once():
     controller = new_controller(gateways=1, gateway_number=0, plans=(Plan("rated", 4, 12, overage_cost=0.5),))
     controller.handle(1000, [SIX_ENDPOINTS])
     actions = controller.handle(1001, [arrival(n, customer="d") for n in range(40)])
@@ -75,17 +76,17 @@
     queued = [request for request in controller.flow.open.values() if request.awaits_quota]
     assert len(sent) >= 7 and len(rejected) + len(sent) + len(queued) == 40
     assert len(rejected) > len(queued)
-    assert all(one.retry_after_ms >= 250 for one in rejected if one.retry_after_ms)
+    assert all(rejection.retry_after_ms >= 250 for rejection in rejected if rejection.retry_after_ms)
     look = rows_by_name(controller.settings.classes)["look"]
     timers = controller.context.timers
-    for _ in range(200):  # until the leader has dropped them
+    for _ in range(200):  # until the queued lease requests have expired
         if timers.first_at_ms > 1001 + look.latency_objective_ms * (1 - 0.45) + 10:
             break
         controller.handle(timers.first_at_ms, [])
     assert not any(request.awaits_quota for request in controller.flow.open.values())
 
 
-def test_denied_lease_request_of_a_peer_is_rejected():
+def test_denied_lease_request_leads_to_a_rejection_by_the_requesting_gateway():
     plans = (Plan("rated", 4, 12, overage_cost=0.5),)
     leader, peer = (new_controller(gateways=300, gateway_number=number, plans=plans) for number in (7, 1))
     leader.handle(1000, [SIX_ENDPOINTS])
@@ -104,7 +105,7 @@
     assert [rejection.id for rejection in rejected] == [1]
 
 
-def test_full_bucket_serves_any_weight_despite_the_reserve():
+def test_full_bucket_grants_a_request_with_weight_0_despite_the_reserve():
     controller = new_controller(
         gateways=1, gateway_number=0, plans=(Plan("rated", 0.5, 2, overage_cost=0.5),)
     )
--- a/tests/policy/quota/test_lease_client.py
+++ b/tests/policy/quota/test_lease_client.py
@@ -24,16 +24,16 @@
 )
 from gateway.interface.settings import Plan
 
-LEADER = leader_of("c")  # of the quota of customer c
-OTHER_GATEWAY = (LEADER + 1) % 3  # which asks that leader
+LEADER = leader_of("c")  # number of the gateway that is the quota leader of customer c
+OTHER_GATEWAY = (LEADER + 1) % 3  # number of a gateway that sends lease requests to that leader
 
 
 def from_leader(entry):
-    """Return the event of a datagram from the leader with this entry."""
+    """Return the event that a datagram with this entry has arrived from the leader."""
     return GossipReceived(LEADER, codec.encode(1, 1.0, [entry], []))
 
 
-def test_lease_requests_to_a_silent_leader_are_repeated_then_one_is_admitted_optimistically():
+def test_silent_leader_gets_repeated_lease_requests_before_one_optimistic_admission():
     controller = new_controller(gateway_number=OTHER_GATEWAY)
     events = [SIX_ENDPOINTS, *(arrival(n, units=4, deadline_at_ms=9000.0) for n in (1, 2, 3))]
     actions = []
@@ -54,7 +54,7 @@
     assert [entry.kind for entry in entries_in(datagrams_in(actions))] == [EntryKind.RETURN]
 
 
-def test_endless_client_retries_do_not_fill_the_leaders_inbox():
+def test_customer_far_beyond_its_quota_sends_few_lease_requests():
     controller = new_controller(gateway_number=OTHER_GATEWAY, gossip_inbox_per_s=20)
     controller.handle(1000, [SIX_ENDPOINTS, arrival(1)])
     controller.handle(1010, [from_leader(quota_entry(EntryKind.QUEUED, demand_per_s=400.0))])
@@ -65,32 +65,32 @@
     assert 0 < kinds.count(EntryKind.REQUEST) < 100
 
 
-def test_own_leases_do_not_shorten_the_expected_reply_time():
+def test_replies_of_a_gateway_to_itself_do_not_change_the_expected_reply_time():
     controller = new_controller(gateway_number=OTHER_GATEWAY)
-    own = next(f"o{n}" for n in range(99) if leader_of(f"o{n}") == controller.settings.gateway_number)
+    customer = next(f"o{n}" for n in range(99) if leader_of(f"o{n}") == controller.settings.gateway_number)
     controller.handle(1000, [SIX_ENDPOINTS])
     before = controller.flow.lease_client.expected_reply_ms
     for n in range(1, 60):
-        controller.handle(1000 + n, [arrival(n, "seat", customer=own)])
+        controller.handle(1000 + n, [arrival(n, "seat", customer=customer)])
     assert controller.flow.lease_client.expected_reply_ms == before
     (request,) = entries_in(datagrams_in(controller.handle(1100, [arrival(60)])))
     controller.handle(1190, [from_leader(request._replace(kind=EntryKind.QUEUED))])
     assert controller.flow.lease_client.expected_reply_ms > before
 
 
-def test_request_whose_reply_would_be_too_late_is_admitted_optimistically_at_once():
+def test_request_is_admitted_optimistically_at_once_if_the_reply_is_expected_too_late():
     controller = new_controller(gateway_number=OTHER_GATEWAY)
     controller.handle(1000.0, [SIX_ENDPOINTS])
     controller.flow.lease_client.expected_reply_ms = 500.0
     (send,) = sends_in(controller.handle(1001, [arrival(1)]))
     ended = attempt_ended(send, AttemptResult.OK)
     actions = controller.handle(1002, [ended, arrival(2), TimerFired("agenda")])
-    assert not sends_in(actions)  # one at a time, because the local bucket is in debt
+    assert not sends_in(actions)  # the local bucket is in debt after the first admission
     assert controller.flow.open[2].lease_requests == 1
 
 
-def test_late_replies_are_learned_and_followed_by_optimistic_admission():
-    """No leader is silent, but none replies before its customer's request times out in the queue."""
+def test_missing_replies_raise_the_expected_reply_time_until_requests_are_admitted_at_once():
+    """Leaders send datagrams, so that none is silent, but no reply arrives before a request times out."""
     controller = new_controller(gateway_number=OTHER_GATEWAY)
     customers = [f"o{n}" for n in range(300) if leader_of(f"o{n}") != controller.settings.gateway_number]
     datagrams = [GossipReceived(other, codec.encode(1, 1.0, [], [])) for other in range(3)]
@@ -106,7 +106,7 @@
     assert sent and sent[0] > 3 and sent[-1] == 100
 
 
-def test_lease_request_without_reply_is_admitted_optimistically_before_queue_timeout():
+def test_request_without_reply_is_admitted_optimistically_before_its_queue_timeout():
     controller = new_controller(gateway_number=OTHER_GATEWAY)
     controller.flow.lease_client.expected_reply_ms = 100.0
     actions = controller.handle(1000.0, [SIX_ENDPOINTS, arrival(1), arrival(2)])
@@ -134,11 +134,11 @@
     assert sorted([*requested, *(rejection.id for rejection in rejected)]) == [*range(1, 102)]
 
 
-def test_overage_request_is_admitted_although_its_leader_was_not_asked():
+def test_overage_request_is_admitted_without_a_lease_request():
     controller = new_controller(gateway_number=1)
     controller.handle(0.0, [SIX_ENDPOINTS, arrival(1, customer="d")])
     (account,) = controller.flow.lease_client.accounts.by_key.values()
-    account.fleet_demand_per_s = 1e9  # too much for further lease requests
+    account.fleet_demand_per_s = 1e9  # so high that no further lease request is sent
     account.fleet_demand_at_ms = 4.0
     account.quota_level = 0.0
     actions = controller.handle(4.0, [arrival(2, customer="d")])
--- a/tests/policy/quota/test_token_bucket.py
+++ b/tests/policy/quota/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""Tests of the token bucket."""
+"""Tests of the refill of token buckets."""
 
 import pytest
 from hypothesis import given, settings
@@ -23,13 +23,15 @@
     assert refilled_level(level, rate_per_s, elapsed_s, capacity) == expected
 
 
-def test_bucket_without_capacity_fills_without_bound():
+def test_bucket_without_a_capacity_fills_without_limit():
     assert refilled_level(0.0, 1e6, 1e3) == 1e9
 
 
 @settings(deadline=None, max_examples=100)
 @given(LEVELS, POSITIVE, POSITIVE, POSITIVE)
-def test_level_never_exceeds_the_capacity_nor_falls(level, rate_per_s, elapsed_s, capacity):
+def test_refill_never_exceeds_the_capacity_and_never_lowers_a_level_below_it(
+    level, rate_per_s, elapsed_s, capacity
+):
     refilled = refilled_level(level, rate_per_s, elapsed_s, capacity)
     assert refilled <= capacity
     assert refilled >= min(level, capacity)
--- a/tests/policy/state_transfer/test_gateway_state.py
+++ b/tests/policy/state_transfer/test_gateway_state.py
@@ -1,4 +1,4 @@
-"""Tests of state transfer: the exported state and its JSON form."""
+"""Tests of the JSON form of a gateway's state, and of the snapshots in it."""
 
 import json
 
@@ -75,19 +75,19 @@
 
 
 def empty_state():
-    """The JSON form of the least state."""
+    """Return the JSON form of a state without accounts, buckets and endpoints."""
     limiter = LimiterSnapshot(1.0, 1.0, 1.0, 1.0)
     return GatewayState(0.0, 1, 2, 0.0, 60.0, [], [], [], 1.0, 0.0, 10.0, limiter, {}, {}).to_json()
 
 
 @hypothesis_settings(deadline=None, max_examples=100)
 @given(STATES)
-def test_state_is_read_from_json_as_it_was_written(state):
+def test_state_is_unchanged_by_a_round_trip_through_json(state):
     assert GatewayState.from_json(json.loads(json.dumps(state.to_json()))) == state
 
 
 @pytest.mark.parametrize("key", list(empty_state()))
-def test_state_without_one_of_its_values_is_an_error(key):
+def test_missing_key_raises_key_error(key):
     value = empty_state()
     del value[key]
     with pytest.raises(KeyError, match=key):
@@ -107,14 +107,14 @@
         ("servers", 5),
     ],
 )
-def test_row_of_another_form_is_an_error(key, row):
+def test_malformed_row_raises_type_or_value_error(key, row):
     value = empty_state()
     value[key] = [row]
     with pytest.raises((TypeError, ValueError)):
         GatewayState.from_json(value)
 
 
-def test_account_is_restored_on_another_clock():
+def test_restored_account_has_its_times_shifted_to_the_new_clock():
     account = CustomerAccount(PLAN, 5, 2, 1, 100.0, -1.0, 2.0, 3.0, 4.0, 90.0)
     restored = CustomerAccount(PLAN, 5, 2, 1, 0.0)
     AccountSnapshot.of(AccountKey("c", PLAN.name, 2, 0), account).restore(restored, SHIFT_MS)
@@ -124,7 +124,7 @@
     assert (restored.demand, restored.fleet_demand_per_s) == (3.0, 4.0)
 
 
-def test_bucket_is_restored_on_another_clock_and_shares_nothing_with_the_original():
+def test_restored_bucket_has_its_times_shifted_and_leaves_the_original_unchanged():
     key = LeaseKey(1, 2, 3)
     bucket = LeaderBucket(9, PLAN, 4.0, 100.0, 5.0, 6.0)
     bucket.queue = [LeaseRequest(key, ENTRY, 2.0, 90.0, 300.0)]
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(("reported_at_ms", "expected"), [(70.0, 70.0 + SHIFT_MS), (NEVER_MS, NEVER_MS)])
-def test_endpoint_is_restored_on_another_clock(reported_at_ms, expected):
+def test_restored_endpoint_has_its_times_shifted_and_no_attempts_in_flight(reported_at_ms, expected):
     entry = Endpoint("endpoint", "a", 0, EndpointState.READY)
     counts = ClassCounts({"look": 2.0})
     endpoint = EndpointRecord(entry, 3, 1.5, counts, ClassCounts(), 60.0, 4.0, reported_at_ms)
--- a/tests/policy/state_transfer/test_hot_restart.py
+++ b/tests/policy/state_transfer/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Tests of the state that a process hands over to its successor."""
+"""Tests of a hot restart between controllers: quotas and leases of predecessor and successor."""
 
 import json
 
@@ -17,39 +17,44 @@
 SETTINGS = settings(
     gateways=2,
     plans=(
-        Plan("rated", 4, 12, overage_cost=1.0),  # nothing is forwarded beyond the quota
+        Plan(
+            "rated", 4, 12, overage_cost=1.0
+        ),  # overage costs more than its weight, so no request is forwarded beyond the quota
         Plan("capped", 8, 16, overage_cost=1.0, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
     ),
 )
 
 
 def started_controller(seed=1):
+    """Return a controller with six endpoints, started at START_MS."""
     controller = Controller(SETTINGS, seed)
     controller.handle(START_MS, [SIX_ENDPOINTS])
     return controller
 
 
 def arrivals(request_ids, now, plan_name="rated"):
+    """Return the arrivals of requests of customer c, whose quota leader is gateway 0."""
     return [
         RequestArrived(request_id, "c", "look", plan_name, now + 1400, 1, 0, 1) for request_id in request_ids
     ]
 
 
 def sent_ids(actions):
+    """Return the ids of the requests of which an attempt is sent."""
     return [send.id for send in sends_in(actions)]
 
 
 def hand_over(predecessor, successor, now, successor_now=None):
-    """Pass the predecessor's state on as JSON, to a successor whose clock may differ."""
+    """Restore the predecessor's state, passed as JSON, in a successor whose clock shows `successor_now`."""
     state = json.loads(json.dumps(hot_restart.export_state(predecessor, now).to_json()))
     successor_now = now if successor_now is None else successor_now
     hot_restart.restore_state(successor, successor_now, GatewayState.from_json(state))
 
 
 def forwarded(controller, request_ids, now):
-    """Let requests arrive, and return the ids of those that the controller forwards.
+    """Handle the arrivals of requests one by one, and return the ids of the forwarded ones.
 
-    Each attempt succeeds at once, so that only the quota holds requests back.
+    Each attempt succeeds at once, so that only the quota limits the number of forwarded requests.
     """
     forwarded = []
     for request_id in request_ids:
@@ -59,18 +64,18 @@
     return forwarded
 
 
-def test_spent_units_are_not_granted_again():
+def test_successor_does_not_grant_units_that_its_predecessor_granted():
     predecessor = started_controller()
     successor = started_controller(2)
-    other = started_controller(3)
+    unrelated = started_controller(3)
     now = START_MS + 10
     assert forwarded(predecessor, range(12), now)
     hand_over(predecessor, successor, now)
     assert not forwarded(successor, range(100, 103), now)  # the rest of the burst is reserved
-    assert len(forwarded(other, range(200, 203), now)) == 3
+    assert len(forwarded(unrelated, range(200, 203), now)) == 3
 
 
-def test_retired_process_grants_nothing_and_asks_its_successor():
+def test_retired_process_grants_no_lease_and_requests_one_from_its_successor():
     predecessor = started_controller()
     successor = started_controller(2)
     now = START_MS + 10
@@ -78,15 +83,15 @@
     actions = predecessor.handle(now, arrivals([1], now))
     assert not sends_in(actions)
     (request,) = datagrams_in(actions)
-    assert request.receiver == 0  # the other process, which has the same number
+    assert request.receiver == 0  # the successor, which has the same gateway number
     (reply,) = datagrams_in(successor.handle(now + 1, [GossipReceived(0, request.data)]))
     assert reply.receiver == 0
     assert sent_ids(predecessor.handle(now + 2, [GossipReceived(0, reply.data)])) == [1]
     (bucket, *_) = successor.flow.leader.buckets.values()
-    assert bucket.quota_level <= 11.01  # the successor's bucket pays for the request
+    assert bucket.quota_level <= 11.01  # the units of the request are drawn from the successor's bucket
 
 
-def test_waiting_request_gets_its_reply_from_the_successor():
+def test_lease_request_queued_before_the_restart_is_granted_by_the_successor():
     predecessor = started_controller()
     successor = started_controller(2)
     now = START_MS + 10
@@ -104,10 +109,11 @@
 
 
 def ceiling_levels(controller):
+    """Return the ceiling levels of all buckets of the controller's quota leader."""
     return [bucket.ceiling_level for bucket in controller.flow.leader.buckets.values()]
 
 
-def test_ceilings_are_transferred_and_resume_empty():
+def test_ceilings_are_transferred_and_are_empty_when_the_predecessor_resumes():
     predecessor = started_controller()
     successor = started_controller(2)
     now = START_MS + 4000
@@ -118,14 +124,14 @@
     assert sum(ceiling_levels(successor)) == before and not predecessor.flow.leader.buckets
     accounts = predecessor.flow.lease_client.accounts.by_key.values()
     assert all(account.ceiling_level == account.quota_level == 0 for account in accounts)
-    hot_restart.resume(predecessor, now + 5)  # the successor has ended, with what it spent
+    hot_restart.resume(predecessor, now + 5)  # the successor has ended; what it granted is unknown
     predecessor.handle(now + 5, arrivals([2], now + 5, "capped"))
     (bucket,) = predecessor.flow.leader.buckets.values()
-    # The bucket of the quota may have been granted in the meantime.
+    # The successor may have granted the whole burst of the quota, which is 16 units.
     assert isinstance(bucket, LeaderBucket) and bucket.ceiling_level < 32 * 0.75 - 16
 
 
-def test_clock_difference_fills_no_bucket():
+def test_restore_by_a_process_with_another_clock_adds_no_units():
     predecessor = started_controller()
     successor = Controller(SETTINGS, 2)
     now = START_MS + 10
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Tests of configurations and endpoint lists in the platform's format."""
+"""Tests of reading configurations and endpoint lists in the platform's format."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "name"),
+    ("change", "path"),
     [
         ({"listen": "here"}, "config.listen"),
         ({"seed": "xyz"}, "config.seed"),
@@ -22,24 +22,24 @@
         ({"discovery": "h:70000"}, "discovery"),
     ],
 )
-def test_malformed_configuration_is_reported_by_its_path(change, name):
+def test_malformed_configuration_raises_an_error_with_the_path_of_the_value(change, path):
     value = configuration()
     value.update(change)
     with pytest.raises(ValueError, match="config") as error:
         config_from(json.loads(json.dumps(value)), {})
-    assert name in str(error.value)
+    assert path in str(error.value)
 
 
-def test_environment_supplies_what_the_file_lacks():
+def test_environment_provides_the_name_and_the_addresses_that_the_file_lacks():
     value = configuration()
     del value["name"], value["listen"], value["discovery"]
-    made = config_from(
+    config = config_from(
         value, {"BALANCER_NAME": "n7", "BALANCER_LISTEN": f"{HOST}:5", "BALANCER_DISCOVERY": f"{HOST}:6"}
     )
-    assert (made.name, made.listen, made.discovery) == ("n7", (HOST, 5), (HOST, 6))
+    assert (config.name, config.listen, config.discovery) == ("n7", (HOST, 5), (HOST, 6))
 
 
-def test_endpoint_list_in_discoverys_format_is_read():
+def test_endpoint_list_in_the_format_of_discovery_is_read():
     received = endpoint_list_from(
         endpoint_list(endpoint_entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list"
     )
