--- a/gateway/interface/events.py
+++ b/gateway/interface/events.py
@@ -85,9 +85,7 @@
     first_gateway: int = 0
     spread: int = 1
     is_client_retry: bool = False
-    is_complete: bool = (
-        True  # False: the body is still being received, and RequestCompleted sets the deadline
-    )
+    is_complete: bool = True  # False: the body is incomplete, and RequestCompleted will set the deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended; with `final`, its response has been the final answer of the request."""
+    """An attempt has ended; if `final`, the request has been answered and has ended with it."""
 
     id: int
     attempt: int
--- a/gateway/interface/settings.py
+++ b/gateway/interface/settings.py
@@ -1,7 +1,7 @@
 """The settings of one gateway: its request classes, plans and limits, and its place in the fleet.
 
-Times are in milliseconds, and rates of customers in units per second. Prices and costs are in the unit of
-priority weights. Some settings of the platform are read, but not used by this program; their comments say so.
+Times are in milliseconds, and rates of customers in units per second. Some settings of the platform are read,
+but not used by this program; their comments say so.
 """
 
 from __future__ import annotations
@@ -11,22 +11,17 @@
 
 from gateway.errors import SettingsError
 
-REPORTED_IN_FLIGHT = (
-    "inflight"  # name of the field of a load report with the requests in flight at the endpoint
-)
-REPORTED_UTILIZATION = (
-    "util"  # name of the field of a load report with the endpoint's utilization, from 0 to 1
-)
+# Names of the fields of a load report.
+REPORTED_IN_FLIGHT = "inflight"  # requests in flight at the endpoint
+REPORTED_UTILIZATION = "util"  # utilization of the endpoint, from 0 to 1
 
 
 class Idempotency(Enum):
     """The effect of a second execution of a request."""
 
     IDEMPOTENT = "idempotent"  # none: the request may be executed any number of times
-    WITH_KEY = (
-        "with key"  # none in one deduplication group and window: its endpoints drop duplicates of a key
-    )
-    NON_IDEMPOTENT = "non-idempotent"  # harmful: the request must not be executed twice
+    WITH_KEY = "with key"  # none for some time: a group of endpoints drops duplicates of an idempotency key
+    NON_IDEMPOTENT = "non-idempotent"  # harm: the request must not be executed twice
 
 
 class KeyScope(Enum):
@@ -124,7 +119,7 @@
     slow_start_ms: float  # time that an endpoint takes to reach its full capacity
     slow_start_floor: float  # fraction of its capacity that an endpoint has when it starts
     overload_multiple: float  # multiple of its capacity at which an endpoint in slow start fails permanently
-    overload_window_ms: float  # time for which an endpoint has to exceed overload_multiple to fail
+    overload_window_ms: float  # time over overload_multiple after which an endpoint fails; read, but not used
     max_attempts: int  # maximum number of attempts of a request, with retries and hedges
     tick_ms: float = 1.0  # resolution of the caller's timers
     max_units: float = 1.0  # maximum number of units that a request may need
--- a/gateway/policy/quota/accounts.py
+++ b/gateway/policy/quota/accounts.py
@@ -2,9 +2,9 @@
 
 The local bucket of an account admits requests without a message to another gateway. It fills at the rate of
 the customer's quota times this gateway's fraction of the customer's recent demand. If the customer's set of
-gateways is large, that fraction of the burst is less than one request. In a
-departure from the paper, one gateway of the set is therefore the customer's quota leader. The leader keeps a
-bucket for the customer, from which it leases units to all gateways.
+gateways is large, that fraction of the burst is less than one request. In a departure from the paper, one
+gateway of the set is therefore the customer's quota leader. The leader keeps a bucket for the customer, from
+which it leases units to all gateways.
 """
 
 from collections.abc import Iterable
--- a/gateway/policy/quota/leader.py
+++ b/gateway/policy/quota/leader.py
@@ -103,19 +103,20 @@
         return bucket
 
     def _on_request(self, bucket: LeaderBucket, key: LeaseKey, entry: QuotaEntry) -> None:
+        """Grant, queue or deny a lease request; one that is already granted gets its grant again."""
         if key in bucket.grant_times_ms:  # the earlier reply was lost, or the request is a duplicate
             self._reply(EntryKind.GRANT, key, entry, bucket)
             return
         if bucket.is_queued(key):
             return
         bucket.demand += entry.units
-        lease_request = self._lease_request(key, entry)
+        lease_request = self._new_lease_request(key, entry)
         bucket.queue.append(lease_request)
         self.serve_queue(bucket)
         if lease_request in bucket.queue:
             self._reply(EntryKind.QUEUED, key, entry, bucket)
 
-    def _lease_request(self, key: LeaseKey, entry: QuotaEntry) -> LeaseRequest:
+    def _new_lease_request(self, key: LeaseKey, entry: QuotaEntry) -> LeaseRequest:
         request_class = self._settings.classes[entry.class_index]
         # A client sends a retry when most of its latency objective has passed, so the retry gets weight 0.
         weight = request_class.priority_weight if entry.kind is EntryKind.REQUEST else 0.0
@@ -123,6 +124,7 @@
         return LeaseRequest(key, entry, weight, now_ms, now_ms + max_wait_ms(request_class))
 
     def _on_used(self, bucket: LeaderBucket, key: LeaseKey, entry: QuotaEntry) -> None:
+        """Draw the units of a request that its gateway has admitted without a grant."""
         if key in bucket.grant_times_ms:
             return
         if not bucket.is_queued(key):
@@ -131,6 +133,7 @@
         self._record_grant(bucket, key, entry)
 
     def _on_return(self, bucket: LeaderBucket, key: LeaseKey, entry: QuotaEntry) -> None:
+        """Free the slot of a request, or without a quota in flight, put its units back into the quota."""
         had_slot = bucket.slot_expiries_ms.pop(key, None) is not None
         if not had_slot and key in bucket.grant_times_ms and not bucket.plan.max_in_flight:
             bucket.quota_level = min(bucket.plan.burst, bucket.quota_level + entry.units)
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -15,7 +15,8 @@
 # Expected time, in milliseconds, from a lease request to its reply, until the first reply is received.
 INITIAL_EXPECTED_REPLY_MS = 60.0
 
-# A reply is overdue after this multiple of the expected reply time, and after this minimum in milliseconds.
+# A reply is overdue after this multiple of the expected reply time, or after the minimum, in milliseconds, if
+# that is later.
 OVERDUE_FACTOR = 2.5
 MIN_OVERDUE_MS = 30.0
 
@@ -59,18 +60,19 @@
         # Gateways whose replies were overdue and that have sent no datagram since.
         self._silent_leaders: set[int] = set()
 
-    def admit(self, request: RequestRecord, max_wait_ms: float) -> bool:
+    def admit(self, request: RequestRecord, max_reply_wait_ms: float) -> bool:
         """Admit a request from the local bucket, or request a lease; return whether it is admitted now.
 
         Only a plan with a quota on the rate and none in flight is served from the local bucket here. If the
-        leader's reply is expected later than `max_wait_ms`, the bucket need not hold enough units, but must
-        not be in debt. If the request is not admitted now, the listener receives the leader's reply later, or
-        a DENY during this call if the customer sends more lease requests than the leader's inbox permits.
+        leader's reply is expected later than `max_reply_wait_ms`, the bucket need not hold enough units, but
+        must not be in debt. If the request is not admitted now, the listener receives the leader's reply
+        later, or a DENY during this call if the customer sends more lease requests than the leader's inbox
+        permits.
         """
         account = request.account
         plan = request.plan
         is_reply_too_late = (
-            self.expected_reply_ms > max_wait_ms and account.leader != self._settings.gateway_number
+            self.expected_reply_ms > max_reply_wait_ms and account.leader != self._settings.gateway_number
         )
         needed_units = 0.0 if is_reply_too_late else request.arrival.units
         has_only_rate_quota = plan.rate_per_s and not plan.max_in_flight
