--- a/gateway/interface/events.py
+++ b/gateway/interface/events.py
@@ -123,7 +123,7 @@
     result: AttemptResult
     final: bool
     actual_units: float = 0.0
-    used_percent: int = 0  # percentage of the quota in use, plus 1; 0 if unknown
+    used_percent_plus_one: int = 0  # percentage of the quota in use, plus 1; 0 if unknown
     load: tuple[float, ...] = ()  # the endpoint's load report, in the order of Settings.report_fields
 
 
--- a/gateway/simulator/translation.py
+++ b/gateway/simulator/translation.py
@@ -103,7 +103,7 @@
         elapsed_ms=message.read("rttMs", fields.number),
         result=message.read("result", fields.result),
         final=message.read("final", fields.flag),
-        used_percent=message.read("quotaUse", fields.integer),
+        used_percent_plus_one=message.read("quotaUse", fields.integer),
         load=message.read("load", fields.numbers),
     )
 
