--- a/gateway/policy/endpoints/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -28,7 +28,7 @@
                 endpoint.entry = replace(endpoint.entry, state=EndpointState.REMOVED)
         for entry in update.endpoints:
             existing = self.by_id.get(entry.id)
-            if existing is None or existing.entry.started_ms != entry.started_ms:
+            if existing is None or existing.entry.started_at_ms != entry.started_at_ms:
                 self.by_id[entry.id] = EndpointRecord(entry)
             else:
                 existing.entry = entry
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -1,8 +1,9 @@
 """The transfer of a gateway's state between its processes during a hot restart.
 
-The predecessor exports what its successor needs to continue as the same gateway: the units that were spent,
-the leases of other gateways, and the estimates of endpoints. Open requests stay with the predecessor, which
-sends its lease requests to the successor where this gateway is the customer's quota leader.
+The predecessor exports what its successor needs to continue as the same gateway: the units that are spent
+(as levels of accounts and buckets), the leases of other gateways, and the estimates of the endpoints. Open
+requests stay with the predecessor. For customers whose leader is this gateway, the predecessor sends its
+lease requests to the successor.
 """
 
 from gateway.policy.context import INCARNATION_COUNT
@@ -17,11 +18,16 @@
     LimiterSnapshot,
 )
 
-LEASE_ID_DISTANCE = 0x8000  # distance between the lease ids of predecessor and successor
+# Distance between the last lease ids of the predecessor and its successor: half of all lease ids. Other
+# gateways send replies to either process at the same gateway number, so that both must not use the same ids.
+LEASE_ID_DISTANCE = 0x8000
 
 
 def export_state(controller: Controller, now_ms: float) -> GatewayState:
-    """Return the state for the successor and retire: from now on this process grants and admits nothing."""
+    """Return the state for the successor, and retire this process.
+
+    A retired process grants no leases and admits nothing from local buckets; its buckets are emptied.
+    """
     role = controller.context.role
     flow = controller.flow
     state = GatewayState(
@@ -29,7 +35,7 @@
         incarnation=role.incarnation,
         last_lease_id=flow.lease_client.leases.last_id,
         started_at_ms=role.started_at_ms,
-        lease_reply_ms=flow.lease_client.reply_ms,
+        expected_reply_ms=flow.lease_client.expected_reply_ms,
         accounts=_account_snapshots(controller),
         buckets=_bucket_snapshots(controller),
         endpoints=[EndpointSnapshot.of(endpoint) for endpoint in controller.directory.table.by_id.values()],
@@ -47,7 +53,11 @@
 
 
 def restore_state(controller: Controller, now_ms: float, state: GatewayState) -> None:
-    """Continue with the state of the predecessor, whose clock may differ from this one."""
+    """Continue with the predecessor's state.
+
+    The processes may use different clocks: all times in the state are shifted by the difference between
+    `now_ms` and the time of the export.
+    """
     shift_ms = now_ms - state.exported_at_ms
     role = controller.context.role
     role.has_sibling = True
@@ -56,7 +66,7 @@
     role.incarnation = (state.incarnation + 1) % INCARNATION_COUNT
     lease_client = controller.flow.lease_client
     lease_client.leases.last_id = (state.last_lease_id + LEASE_ID_DISTANCE) % MAX_LEASE_ID
-    lease_client.reply_ms = state.lease_reply_ms
+    lease_client.expected_reply_ms = state.expected_reply_ms
     controller.context.turn.now_ms = now_ms
     _restore_accounts(controller, state.accounts, shift_ms)
     _restore_buckets(controller, state.buckets, shift_ms)
@@ -65,7 +75,10 @@
 
 
 def resume(controller: Controller, now_ms: float) -> None:
-    """Return from retirement after the successor has ended; all buckets are empty, as after a restart."""
+    """End the retirement of this process after its successor has ended.
+
+    All buckets are empty, as after a restart, because the successor may have used their units.
+    """
     role = controller.context.role
     role.is_retired = False
     role.has_sibling = False
@@ -74,12 +87,12 @@
 
 
 def on_predecessor_ended(controller: Controller) -> None:
-    """Record that this is the gateway's only process."""
+    """Record that the predecessor has ended, which makes this the gateway's only process."""
     controller.context.role.has_sibling = False
 
 
 def _empty_buckets(controller: Controller, now_ms: float) -> None:
-    """Remove all units from the leader's and the local buckets."""
+    """Drop the leader's buckets, and remove all units from the local buckets and ceilings."""
     controller.flow.leader.buckets.clear()
     for account in controller.flow.lease_client.accounts.by_key.values():
         account.quota_level = 0.0
@@ -95,10 +108,14 @@
 def _bucket_snapshots(controller: Controller) -> list[BucketSnapshot]:
     plans = controller.settings.plans
     buckets = controller.flow.leader.buckets
-    return [BucketSnapshot.of(name, plans.index(bucket.plan), bucket) for name, bucket in buckets.items()]
+    return [
+        BucketSnapshot.of(bucket_id, plans.index(bucket.plan), bucket)
+        for bucket_id, bucket in buckets.items()
+    ]
 
 
 def _restore_accounts(controller: Controller, snapshots: list[AccountSnapshot], shift_ms: float) -> None:
+    """Restore the accounts whose plans this process knows."""
     accounts = controller.flow.lease_client.accounts
     plans = {plan.name: plan for plan in controller.settings.plans}
     for snapshot in snapshots:
@@ -109,30 +126,31 @@
 
 
 def _restore_buckets(controller: Controller, snapshots: list[BucketSnapshot], shift_ms: float) -> None:
-    """Restore the leader's buckets, and serve each one, which schedules the next service of its queue."""
+    """Restore the buckets whose plans this process knows, and serve their queues, which schedules timers."""
     leader = controller.flow.leader
     plans = controller.settings.plans
     for snapshot in snapshots:
         if snapshot.plan_index < len(plans):
             plan = plans[snapshot.plan_index]
-            bucket = LeaderBucket(snapshot.name, plan, snapshot.level, snapshot.refilled_at_ms)
+            bucket = LeaderBucket(snapshot.bucket_id, plan, snapshot.quota_level, snapshot.refilled_at_ms)
             snapshot.restore(bucket, shift_ms)
-            leader.buckets[snapshot.name] = bucket
-            leader.serve(bucket)
+            leader.buckets[snapshot.bucket_id] = bucket
+            leader.serve_queue(bucket)
 
 
 def _restore_endpoints(controller: Controller, state: GatewayState, shift_ms: float) -> None:
-    """Restore the estimates of the listed endpoints that have not restarted since the export."""
+    """Restore the estimates of listed endpoints, unless an endpoint has restarted since its snapshot."""
     directory = controller.directory
     for snapshot in state.endpoints:
         endpoint = directory.table.by_id.get(snapshot.id)
-        if endpoint is not None and endpoint.entry.started_ms == snapshot.started_ms:
+        if endpoint is not None and endpoint.entry.started_at_ms == snapshot.started_at_ms:
             snapshot.restore(endpoint, shift_ms)
     directory.reference_capacity = max(directory.reference_capacity, state.reference_capacity)
     controller.selector.recent_sends = state.recent_sends
 
 
 def _restore_request_flow(controller: Controller, state: GatewayState) -> None:
+    """Restore the limiter and the retry budget, and the estimates of the classes that this process knows."""
     flow = controller.flow
     state.limiter.restore(flow.attempts.limiter)
     flow.attempts.limiter.update_limit(controller.directory.capacity)
--- a/gateway/simulator/translation.py
+++ b/gateway/simulator/translation.py
@@ -36,7 +36,7 @@
         cell=message.read("pod", fields.parse_integer),
         state=message.read("health", fields.parse_endpoint_state),
         weight=message.read("share", fields.parse_number),
-        started_ms=message.read("onlineSinceMs", fields.parse_number),
+        started_at_ms=message.read("onlineSinceMs", fields.parse_number),
     )
 
 
@@ -106,7 +106,7 @@
         elapsed_ms=message.read("rttMs", fields.parse_number),
         result=message.read("result", fields.parse_attempt_result),
         final=message.read("final", fields.parse_flag),
-        used_percent=message.read("quotaUse", fields.parse_integer),
+        used_percent_plus_one=message.read("quotaUse", fields.parse_integer),
         load=message.read("load", fields.parse_numbers),
     )
 
--- a/tests/interface/test_json_object.py
+++ b/tests/interface/test_json_object.py
@@ -22,35 +22,38 @@
         (lambda: VALUES.flag("count"), True),
         (lambda: VALUES.object("object").number("inner"), 1.0),
         (lambda: VALUES.array("array"), [{}, {"n": 2}]),
-        (lambda: VALUES.words("array"), ("{}", "{'n': 2}")),
-        (lambda: VALUES.words("missing"), ()),
+        (lambda: VALUES.strings("array"), ("{}", "{'n': 2}")),
+        (lambda: VALUES.strings("missing"), ()),
         (lambda: VALUES.number("missing", 3.0), 3.0),
         (lambda: VALUES.text("missing", "b"), "b"),
         (lambda: VALUES.flag("missing", False), False),
         (lambda: VALUES.object("missing", {}).value, {}),
     ],
 )
-def test_value_of_the_expected_type_is_returned(read, value):
+def test_value_of_the_expected_type_or_fallback_is_returned(read, value):
     assert read() == value
 
 
 @pytest.mark.parametrize(
     ("read", "error"),
     [
-        (lambda: VALUES.number("missing"), "top.missing: it is missing"),
-        (lambda: VALUES.number("text"), "top.text: cannot read 'a'"),
-        (lambda: VALUES.number("flag"), "top.flag: cannot read True"),
-        (lambda: VALUES.text("count"), "top.count: cannot read 7"),
-        (lambda: VALUES.flag("number"), "top.number: cannot read 1.5"),
-        (lambda: VALUES.object("text"), "top.text: cannot read 'a'"),
-        (lambda: VALUES.object("object").text("inner"), "top.object.inner: cannot read 1"),
-        (lambda: VALUES.objects("array")[1].text("n"), r"top.array\[1\].n: cannot read 2"),
-        (lambda: VALUES.array("missing"), "top.missing: it is missing"),
-        (lambda: JsonObject({"n": 10**400}, "top").number("n"), "top.n: cannot read inf"),
-        (lambda: JsonObject({"n": None}, "top").number("n", 1.0), "top.n: it is missing"),
-        (lambda: JsonObject([], "top"), "top: an object is expected"),
+        (lambda: VALUES.number("missing"), "top.missing: required, but missing or null"),
+        (lambda: VALUES.number("text"), "top.text: expected a number, received 'a'"),
+        (lambda: VALUES.number("flag"), "top.flag: expected a number, received True"),
+        (lambda: VALUES.text("count"), "top.count: expected a string, received 7"),
+        (lambda: VALUES.flag("number"), "top.number: expected a boolean or an integer, received 1.5"),
+        (lambda: VALUES.object("text"), "top.text: expected an object, received 'a'"),
+        (lambda: VALUES.object("object").text("inner"), "top.object.inner: expected a string, received 1"),
+        (lambda: VALUES.objects("array")[1].text("n"), r"top.array\[1\].n: expected a string, received 2"),
+        (lambda: VALUES.array("missing"), "top.missing: required, but missing or null"),
+        (
+            lambda: JsonObject({"n": 10**400}, "top").number("n"),
+            "top.n: expected a finite number, received inf",
+        ),
+        (lambda: JsonObject({"n": None}, "top").number("n", 1.0), "top.n: required, but missing or null"),
+        (lambda: JsonObject([], "top"), "top: expected an object, received a value of type list"),
     ],
 )
-def test_missing_value_and_value_of_another_type_are_reported_by_their_path(read, error):
+def test_missing_or_malformed_value_raises_an_error_with_its_path(read, error):
     with pytest.raises(SettingsError, match=f"^{error}$"):
         read()
--- a/tests/policy/state_transfer/test_gateway_state.py
+++ b/tests/policy/state_transfer/test_gateway_state.py
@@ -1,4 +1,4 @@
-"""Tests of state transfer: the exported state and its JSON form."""
+"""Tests of the JSON form of a gateway's state, and of the snapshots in it."""
 
 import json
 
@@ -61,7 +61,7 @@
     incarnation=st.integers(0, 0xFFFF),
     last_lease_id=st.integers(0, 0xFFFF),
     started_at_ms=VALUES,
-    lease_reply_ms=VALUES,
+    expected_reply_ms=VALUES,
     accounts=st.lists(ACCOUNTS, max_size=3),
     buckets=st.lists(BUCKETS, max_size=3),
     endpoints=st.lists(ENDPOINTS, max_size=3),
@@ -75,19 +75,19 @@
 
 
 def empty_state():
-    """The JSON form of the least state."""
+    """Return the JSON form of a state without accounts, buckets and endpoints."""
     limiter = LimiterSnapshot(1.0, 1.0, 1.0, 1.0)
     return GatewayState(0.0, 1, 2, 0.0, 60.0, [], [], [], 1.0, 0.0, 10.0, limiter, {}, {}).to_json()
 
 
 @hypothesis_settings(deadline=None, max_examples=100)
 @given(STATES)
-def test_state_is_read_from_json_as_it_was_written(state):
+def test_state_is_unchanged_by_a_round_trip_through_json(state):
     assert GatewayState.from_json(json.loads(json.dumps(state.to_json()))) == state
 
 
 @pytest.mark.parametrize("key", list(empty_state()))
-def test_state_without_one_of_its_values_is_an_error(key):
+def test_missing_key_raises_key_error(key):
     value = empty_state()
     del value[key]
     with pytest.raises(KeyError, match=key):
@@ -107,14 +107,14 @@
         ("servers", 5),
     ],
 )
-def test_row_of_another_form_is_an_error(key, row):
+def test_malformed_row_raises_type_or_value_error(key, row):
     value = empty_state()
     value[key] = [row]
     with pytest.raises((TypeError, ValueError)):
         GatewayState.from_json(value)
 
 
-def test_account_is_restored_on_another_clock():
+def test_restored_account_has_its_times_shifted_to_the_new_clock():
     account = CustomerAccount(PLAN, 5, 2, 1, 100.0, -1.0, 2.0, 3.0, 4.0, 90.0)
     restored = CustomerAccount(PLAN, 5, 2, 1, 0.0)
     AccountSnapshot.of(AccountKey("c", PLAN.name, 2, 0), account).restore(restored, SHIFT_MS)
@@ -124,26 +124,26 @@
     assert (restored.demand, restored.fleet_demand_per_s) == (3.0, 4.0)
 
 
-def test_bucket_is_restored_on_another_clock_and_shares_nothing_with_the_original():
+def test_restored_bucket_has_its_times_shifted_and_leaves_the_original_unchanged():
     key = LeaseKey(1, 2, 3)
     bucket = LeaderBucket(9, PLAN, 4.0, 100.0, 5.0, 6.0)
     bucket.queue = [LeaseRequest(key, ENTRY, 2.0, 90.0, 300.0)]
-    bucket.slots = {key: 400.0}
-    bucket.granted = {key: 80.0}
+    bucket.slot_expiries_ms = {key: 400.0}
+    bucket.grant_times_ms = {key: 80.0}
     restored = LeaderBucket(9, PLAN, 0.0, 0.0)
     BucketSnapshot.of(9, 0, bucket).restore(restored, SHIFT_MS)
-    assert (restored.level, restored.ceiling_level, restored.demand) == (4.0, 5.0, 6.0)
+    assert (restored.quota_level, restored.ceiling_level, restored.demand) == (4.0, 5.0, 6.0)
     assert restored.refilled_at_ms == 100.0 + SHIFT_MS
     (queued,) = restored.queue
     assert (queued.key, queued.entry, queued.priority_weight) == (key, ENTRY, 2.0)
     assert (queued.received_at_ms, queued.expires_at_ms) == (90.0 + SHIFT_MS, 300.0 + SHIFT_MS)
-    assert restored.slots == {key: 400.0 + SHIFT_MS}
-    assert restored.granted == {key: 80.0 + SHIFT_MS}
+    assert restored.slot_expiries_ms == {key: 400.0 + SHIFT_MS}
+    assert restored.grant_times_ms == {key: 80.0 + SHIFT_MS}
     assert bucket.queue[0].received_at_ms == 90.0
 
 
 @pytest.mark.parametrize(("reported_at_ms", "expected"), [(70.0, 70.0 + SHIFT_MS), (NEVER_MS, NEVER_MS)])
-def test_endpoint_is_restored_on_another_clock(reported_at_ms, expected):
+def test_restored_endpoint_has_its_times_shifted_and_no_attempts_in_flight(reported_at_ms, expected):
     entry = Endpoint("endpoint", "a", 0, EndpointState.READY)
     counts = ClassCounts({"look": 2.0})
     endpoint = EndpointRecord(entry, 3, 1.5, counts, ClassCounts(), 60.0, 4.0, reported_at_ms)
