--- a/gateway/network/admin/endpoint.py
+++ b/gateway/network/admin/endpoint.py
@@ -85,7 +85,7 @@
         """Report on `gateway`; listen nowhere yet."""
         self.gateway = gateway
         self.connections: dict[AdminConnection, None] = {}  # the open connections, oldest first
-        self._handlers = {"/_ready": self._respond_readiness, "/_vars": self._respond_metrics}
+        self._handlers = {"/_ready": self._readiness_response, "/_vars": self._metrics_response}
         self._server: asyncio.Server | None = None
 
     async def open(self, address: tuple[str, int] | None) -> None:
@@ -100,8 +100,8 @@
         for connection in list(self.connections):
             connection.abort()
 
-    def respond(self, method: bytes, path: str) -> AdminResponse:
-        """Return the response to a request: 404 for an unknown path, 405 for another method than GET."""
+    def create_response(self, method: bytes, path: str) -> AdminResponse:
+        """Return the response to a request: 404 for an unknown path, 405 for a method other than GET."""
         handler = self._handlers.get(path)
         if handler is None:
             return AdminResponse(HTTPStatus.NOT_FOUND, b"no such call\n")
@@ -110,25 +110,26 @@
         return handler()
 
     def add_connection(self, connection: AdminConnection) -> None:
-        """Add a connection.
+        """Add a connection, and abort an earlier one if MAX_ADMIN_CONNECTIONS are open already.
 
-        If MAX_ADMIN_CONNECTIONS are open, aborts the oldest answered connection, or else the oldest one.
+        The connection that is aborted, and thereby removed, is the oldest one whose response has been
+        written, or if there is none, the oldest one.
         """
         while len(self.connections) >= MAX_ADMIN_CONNECTIONS:
-            answered = (candidate for candidate in self.connections if candidate.is_answered)
-            next(answered, next(iter(self.connections))).abort()
+            finished = (candidate for candidate in self.connections if candidate.is_finished)
+            next(finished, next(iter(self.connections))).abort()
         self.connections[connection] = None
 
     def remove_connection(self, connection: AdminConnection) -> None:
         """Remove a closed or aborted connection; do nothing if it has been removed already."""
         self.connections.pop(connection, None)
 
-    def _respond_readiness(self) -> AdminResponse:
+    def _readiness_response(self) -> AdminResponse:
         if self.gateway.ready:
             return AdminResponse(HTTPStatus.OK, b"yes\n")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"no\n")
 
-    def _respond_metrics(self) -> AdminResponse:
+    def _metrics_response(self) -> AdminResponse:
         return AdminResponse(HTTPStatus.OK, self.gateway.metrics_text(), CONTENT_TYPE)
 
 
@@ -136,8 +137,9 @@
     """A connection to the admin endpoint, which is closed after one response."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
-        """Let `endpoint` compute the response to the request."""
-        self.is_answered = False  # whether the response has been written, or the connection has ended
+        """Create a connection of `endpoint`, which routes its request and creates the response."""
+        # Whether the response has been written or the connection has ended; no response is written then.
+        self.is_finished = False
         self._endpoint = endpoint
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -153,23 +155,27 @@
         gateway = self._endpoint.gateway
         gateway.timers.call_at(
             gateway.clock.now() + REQUEST_TIMEOUT_MS,
-            lambda: self._respond(AdminResponse(HTTPStatus.REQUEST_TIMEOUT)),
+            lambda: self._send_response(AdminResponse(HTTPStatus.REQUEST_TIMEOUT)),
         )
 
     def data_received(self, data: bytes) -> None:
         """Parse a part of the request; input after the response is discarded."""
-        if self.is_answered:
+        if self.is_finished:
             return
         self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._respond(AdminResponse(HTTPStatus.BAD_REQUEST))
+            self._send_response(AdminResponse(HTTPStatus.BAD_REQUEST))
         if self._received_bytes > MAX_REQUEST_BYTES:
-            self._respond(AdminResponse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE))
+            self._send_response(AdminResponse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE))
 
     def eof_received(self) -> None:
-        """Return None, so that the transport closes: the rest of an incomplete request cannot arrive."""
+        """Let the transport close after the end of the input, which the return value None does.
+
+        Bytes of the response that are still buffered are sent before. An incomplete request gets no response,
+        because its rest cannot arrive any more.
+        """
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Unregister the connection, and release the parser.
@@ -177,7 +183,7 @@
         The parser refers back to this connection; the cycle would stay in memory until a garbage collection.
         """
         self._parser = None
-        self.is_answered = True
+        self.is_finished = True
         self._endpoint.remove_connection(self)
 
     # -- the parser's callbacks
@@ -191,9 +197,9 @@
         try:
             path = httptools.parse_url(self._url).path or b""
         except httptools.HttpParserInvalidURLError:
-            self._respond(AdminResponse(HTTPStatus.BAD_REQUEST))
+            self._send_response(AdminResponse(HTTPStatus.BAD_REQUEST))
             return
-        self._respond(self._endpoint.respond(self._parser.get_method(), path.decode("latin-1")))
+        self._send_response(self._endpoint.create_response(self._parser.get_method(), path.decode("latin-1")))
 
     # -- the response
 
@@ -203,15 +209,15 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _respond(self, response: AdminResponse) -> None:
+    def _send_response(self, response: AdminResponse) -> None:
         """Write the response, and abort the connection after LINGER_TIMEOUT_MS.
 
         Does nothing if a response has been written, or if the connection is closing.
         """
         transport = self._transport
-        if self.is_answered or transport is None or transport.is_closing():
+        if self.is_finished or transport is None or transport.is_closing():
             return
-        self.is_answered = True
+        self.is_finished = True
         transport.write(response.encode())
         transport.write_eof()
         gateway = self._endpoint.gateway
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -42,8 +42,8 @@
 # Upper bound of the pause after a rejected request, in milliseconds.
 MAX_REJECTION_PAUSE_MS = 1000.0
 
-# Number of rejected requests after which the pause no longer doubles. The pause has reached its upper bound
-# by then; without this limit, the power of two would grow with each further request.
+# Upper bound of the exponent in the pause MIN_REJECTION_PAUSE_MS * 2**exponent. It only keeps the power of
+# two from growing with each rejected request: five doublings already exceed MAX_REJECTION_PAUSE_MS.
 MAX_PAUSE_DOUBLINGS = 10
 
 # The states as module variables, because access to an enum member through its class is slow in Python 3.11.
@@ -67,7 +67,7 @@
     transport: asyncio.Transport  # assigned in connection_made, before any other call
 
     def __init__(self, handler: RequestHandler, is_transferred: bool = False) -> None:
-        """Start idle; the event loop supplies the transport by `connection_made`.
+        """Start idle and without a transport, which the event loop passes to `connection_made`.
 
         Args:
             handler: Handles the requests of the connection, and is told when its state changes.
@@ -78,11 +78,15 @@
         self.reader = RequestReader()
         self.request: OpenRequest | None = None  # None while no request is open
         self.response_source: ResponseSource | None = None  # None while no response is being forwarded
+        # Whether input has arrived since the gateway began to close the connection, or since the limiter last
+        # cleared this flag.
         self.received_while_closing = False
         self.closing_since_ms = 0.0
         self._handler = handler
         self._writer = ResponseWriter()
-        self._rejection_count = 0  # rejected requests after which the connection stayed open
+        # Number of rejected requests after which the connection stayed open, which is never reset. It is the
+        # exponent of the next pause after a rejection.
+        self._rejection_count = 0
         self.body_progress = BodyProgress()
         self._reset_request_state()
 
@@ -121,8 +125,8 @@
             self.state = _PIPELINED
         elif self.state is not _PIPELINED:
             try:
-                self._read_requests(data)
-            except Exception:  # an internal error ends only this request
+                self._process_input(data)
+            except Exception:  # an internal error ends this connection, but no other one
                 self._on_internal_error()
 
     def eof_received(self) -> None:
@@ -145,7 +149,19 @@
 
     # -- the reader's events
 
-    def _read_requests(self, data: bytes) -> None:
+    def _process_input(self, data: bytes) -> None:
+        """Pass received bytes to the reader, and handle the events that they cause.
+
+        The remaining events are discarded once bytes have followed the open request, or once the connection
+        is closing. After the events:
+
+        - PAUSED: a complete request has been rejected. The reader counts the next request from zero, so that
+          the rejected request's bytes do not count toward its size.
+        - RECEIVED: the size is not checked, because the reader still counts the bytes of the complete request
+          until its response is sent. After a buffered body, the reader already expects the next head, whose
+          limit these bytes may exceed.
+        - Otherwise, the request being received is rejected if it occupies too many bytes on the wire.
+        """
         for event in self.reader.feed(data):
             self._handle_event(event)
             if self.state is _PIPELINED or self.state is _CLOSING:
@@ -158,7 +174,11 @@
                 self._abort_request(rejection.status)
 
     def _on_internal_error(self) -> None:
-        """Answer 400 and close the connection; if the open request is complete, send its response first."""
+        """Answer 400 and close the connection.
+
+        If the open request is complete, its response is sent first. If the response of an incomplete request
+        has been sent already or is being forwarded, the connection is aborted without a 400.
+        """
         if self.state is _RECEIVED:
             self.state = _PIPELINED
         else:
@@ -166,9 +186,12 @@
 
     def _handle_event(self, event: RequestEvent) -> None:
         if self.state is _RECEIVED:
+            # The open request is complete, so the event stems from bytes that the client has sent after it.
             self.state = _PIPELINED
             return
         if self.state is _PAUSED:
+            # The client has sent further bytes without waiting for the response of the rejected request.
+            # Pipelined requests are not served, so the connection closes instead of pausing.
             self._abort_request(HTTPStatus.BAD_REQUEST)
             return
         match event:
@@ -260,7 +283,10 @@
                 self.transport.resume_reading()
 
     def _abort_request(self, status: int) -> None:
-        """Close the connection because of unacceptable bytes or a timeout.
+        """Cancel the current request and close the connection.
+
+        Used after unacceptable bytes, a timeout or an internal error, and for a rejected request, even a
+        complete one, if the connection must close after it.
 
         The client receives an error response with this status, unless the response of the current request has
         been sent already or is being forwarded.
@@ -442,7 +468,12 @@
             self._close()
 
     def on_input_timeout(self) -> None:
-        """Answer 408 to the request being received; if there is none, close the connection."""
+        """End the connection because its input timeout has expired.
+
+        A request being received is answered with 408, and the connection closes. If its response has been
+        sent or is being forwarded already, the connection is aborted instead. Without a request being
+        received, the connection closes unless a request on it is open or unread in the socket.
+        """
         if self.is_receiving:
             self._abort_request(HTTPStatus.REQUEST_TIMEOUT)
         else:
@@ -479,7 +510,7 @@
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a request is being received."""
+        """Whether a request is being received, or the rest of one whose response has been sent already."""
         return self.state is _RECEIVING or self.state is _DISCARDING
 
     @property
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -1,12 +1,16 @@
 """Limits the number of client connections, and the time for which they may stay without an open request.
 
-A connection is in one of three tables, or in none of them while a request on it is open:
+A connection is in one of three tables, or in none of them from the end of a request until the end of its
+response:
 
-- awaiting a request: the connection is new, or a request is being received on it;
+- awaiting a request: the connection is new, or a request is being received on it. A request with a large body
+  is open already before its body has ended. After a complete request that was rejected, the connection stays
+  in this table with the time of that request until it closes or a later request is complete.
 - idle: the response of the connection's last request is complete;
 - closing: the gateway is closing the connection, and may still read from it.
 
-Each table is ordered by the time at which the connections entered it.
+Each table lists the connections in the order in which they entered it. A closing connection on which input
+still arrives leaves its table after LINGER_TIMEOUT_MS and enters it again at the end.
 
 The limits on the number of connections are fractions of the file descriptors that connections to clients and
 to endpoints share (`descriptor_limits.shareable_descriptors`). Each connection occupies one descriptor.
@@ -28,26 +32,30 @@
 # Those in excess close after MIN_IDLE_MS.
 IDLE_FRACTION = 0.02
 
-# Number of client connections above which the process counts as overloaded, as a fraction of the descriptors:
-# connections in excess that have no request then close after OVERLOAD_IDLE_MS.
+# Number of client connections above which the process counts as overloaded, as a fraction of the descriptors.
+# Connections in excess that are idle, or that await a request of which no byte has been received, then close
+# after OVERLOAD_IDLE_MS.
 OVERLOAD_FRACTION = 0.26
 
 # Milliseconds that a client has to send the head of a request, from the start of a new connection or from the
-# first byte of a later request.
+# first byte of a later request. From the end of the head, the body has the same time, plus the time that its
+# received bytes need at MIN_BODY_BYTES_PER_MS.
 INPUT_TIMEOUT_MS = 2500.0
 
-# Milliseconds; replaces INPUT_TIMEOUT_MS while the gateway drains.
+# Milliseconds that a client has to send a complete request, head and body, while the gateway drains. This
+# limit then replaces INPUT_TIMEOUT_MS, and the rate of the body does not extend it.
 SHUTDOWN_INPUT_TIMEOUT_MS = 500.0
 
 # Minimum rate of a request body in bytes per millisecond, from the end of the head. A request is rejected if
 # its body takes longer than the input timeout plus the time that the received bytes need at this rate.
 MIN_BODY_BYTES_PER_MS = 32.0
 
-# Milliseconds for which a connection may be idle although there are more idle connections than IDLE_FRACTION
-# allows.
+# Milliseconds for which every idle connection may stay open. While there are more idle connections than
+# IDLE_FRACTION allows, those in excess close after this time.
 MIN_IDLE_MS = 2000.0
 
-# Milliseconds; replaces MIN_IDLE_MS while there are more connections than OVERLOAD_FRACTION allows.
+# Milliseconds for which a connection may stay open without a request while there are more connections than
+# OVERLOAD_FRACTION allows. Those in excess close after this time, which is shorter than MIN_IDLE_MS.
 OVERLOAD_IDLE_MS = 250.0
 
 # Milliseconds after which an idle connection closes in any case.
@@ -72,7 +80,7 @@
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a request is being received."""
+        """Whether a request is being received, or the rest of one whose response has been sent already."""
 
     def is_transferable(self) -> bool:
         """Return whether the connection is idle with all responses written, and can be handed over."""
@@ -87,13 +95,18 @@
         """Close the connection unless a request on it is open, being received or unread in the socket."""
 
     def on_input_timeout(self) -> None:
-        """Reject the request being received; if there is none, close the connection."""
+        """End the connection because its input timeout has expired.
+
+        A request being received is rejected. If its response has been sent or started already, the connection
+        is aborted. Without a request being received, the connection closes unless it has unread input.
+        """
 
     def abort(self) -> None:
         """Abort the connection without writing what is buffered."""
 
 
-# Maps each connection to the time at which it entered the table, in milliseconds.
+# Maps each connection to the time, in milliseconds, at which it entered the table. The time of a closing
+# connection on which input still arrives is extended by LINGER_TIMEOUT_MS at a time.
 ConnectionTimes = dict[LimitedConnection, float]
 
 
@@ -115,7 +128,8 @@
     def update_limits(self, descriptors: int) -> None:
         """Derive all limits from the number of descriptors that clients and endpoints share.
 
-        The increments made for transferred connections are discarded.
+        The increments by `add_transferred` are discarded: when the predecessor has ended, `descriptors` is
+        derived from the whole configured limit, which includes the transferred connections.
         """
         self.eviction_threshold = int(descriptors * EVICTION_THRESHOLD_FRACTION)
         self.max_admitted = int(descriptors * ADMITTED_FRACTION)
@@ -125,7 +139,8 @@
     def add_transferred(self, client: LimitedConnection, now_ms: float) -> None:
         """Add an idle connection that the predecessor has handed over.
 
-        Each limit grows by one, because the connection brings its descriptor along.
+        Each limit grows by one. The predecessor closes its descriptor of the connection, so this process may
+        hold one descriptor more.
         """
         self.eviction_threshold += 1
         self.max_admitted += 1
@@ -174,9 +189,10 @@
     def evict_excess(self) -> None:
         """Abort connections until their number no longer exceeds `eviction_threshold`.
 
-        Closing connections are aborted first, then connections that await a request, then idle ones; within
-        each group, those that have been in it for longest. Connections with an open request stay, and so do
-        those with unread input unless they are closing.
+        The order is: closing connections, then connections that await a request, then idle ones; within each
+        table, the connections that entered it first. A connection whose large body is still being received
+        awaits a request, and can be aborted although its request is open. Connections whose open request is
+        complete stay, and so do those with unread input unless they are closing.
         """
         for table in (self._closing, self._awaiting_request, self._idle):
             for client in list(table):
@@ -205,7 +221,10 @@
                 client.on_input_timeout()
 
     def _sweep_overload(self, now_ms: float) -> None:
-        """Under overload, close connections without a request early, so that new clients can connect."""
+        """Under overload, close unused connections after OVERLOAD_IDLE_MS, so that new clients can connect.
+
+        A connection is unused if it is idle, or if it awaits a request of which no byte has been received.
+        """
         excess = len(self.open_connections) - len(self._closing) - self.overload_threshold
         if excess <= 0:
             return
@@ -216,6 +235,10 @@
             client.close_if_idle()
 
     def _sweep_idle(self, now_ms: float) -> None:
+        """Close the idle connections in excess of `max_idle` after MIN_IDLE_MS, the longest idle ones first.
+
+        Without an excess, idle connections close after IDLE_TIMEOUT_MS.
+        """
         excess = len(self._idle) - self.max_idle
         if excess > 0:
             expired = _older_than(self._idle, now_ms, MIN_IDLE_MS)[:excess]
--- a/gateway/network/clients/response_writer.py
+++ b/gateway/network/clients/response_writer.py
@@ -1,4 +1,4 @@
-"""Encodes the responses on one client connection as bytes, without a transport."""
+"""Encodes the responses on one client connection as bytes; the caller writes them to the transport."""
 
 from __future__ import annotations
 
@@ -31,10 +31,13 @@
 
 
 class ResponseWriter:
-    """Encodes complete responses, and the head and parts of forwarded responses."""
+    """Encodes complete responses, and the head and parts of forwarded responses.
+
+    A forwarded response always has status 200.
+    """
 
     def __init__(self) -> None:
-        """Start without a forwarded response; `response_head` sets the framing."""
+        """Create a writer without a response in progress; `response_head` sets the framing of a body."""
         self._chunked = False  # whether the response being forwarded has a chunked body
 
     def complete_response(
@@ -46,9 +49,12 @@
             status: The status, which must be in REASON_PHRASES.
             body: The body, which may be empty.
             content_type: The value of Content-Type; the field is left out if it is empty.
-            retry_after_ms: The delay of Retry-After, in milliseconds; the field is left out if it is 0.
+            retry_after_ms: The delay of Retry-After, in milliseconds; the field is left out if it is 0. Must
+                be 0 for status 200. The field states the delay in seconds with three decimals.
             close: Whether the response states that the connection closes.
         """
+        # A 200 without optional fields is encoded without the work of composing them. Retry-After is not
+        # checked, because it is sent only with other statuses.
         if status == OK and not close and not content_type:
             return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s%s\r\n%s" % (
@@ -66,7 +72,7 @@
         return self.complete_response(status, b"", b"", 0.0, close=close)
 
     def response_head(self, length: int | None, content_type: bytes, *, chunked: bool, close: bool) -> bytes:
-        """Return the head of a forwarded response, and set the framing of its body.
+        """Return the head of a forwarded response, whose status is 200, and set the framing of its body.
 
         Args:
             length: The length of the body in bytes, None if it is unknown.
--- a/gateway/network/hot_restart/coordinator.py
+++ b/gateway/network/hot_restart/coordinator.py
@@ -27,10 +27,18 @@
 
 
 class HotRestart:
-    """The listening socket for clients, and the links of a process to its predecessor and successor."""
+    """Takes over the service from a predecessor, serves clients, and hands over to a successor.
+
+    Owns the listening socket for clients and the links to both processes. Without a predecessor, it binds new
+    sockets.
+    """
 
     def __init__(self, gateway: Gateway) -> None:
-        """Open nothing yet; without a private folder for the socket file, hot restart is disabled."""
+        """Open nothing yet.
+
+        Without a folder for the socket file (`config.socket_folder`), hot restart is disabled: the process
+        finds no predecessor, and no successor can connect to it.
+        """
         config = gateway.config
         self._gateway = gateway
         tasks = BackgroundTasks(gateway.loop)
@@ -57,6 +65,10 @@
     async def take_over(self) -> None:
         """Take over from the connected predecessor; if that fails, bind new sockets and accept clients.
 
+        HANDOVER_TIMEOUT_S covers the handover and the start of serving on the predecessor's listening socket.
+        After a failure, the link to the predecessor is closed. If this process accepts clients already by
+        then, no new sockets are bound.
+
         Does nothing if `connect_or_serve` found no predecessor. Raises OSError if an address cannot be used.
         """
         if not self._successor_side.is_connected:
@@ -78,8 +90,9 @@
     async def close_listeners(self) -> None:
         """Accept no more clients or successors, and close the listening sockets.
 
-        Connections in the accept queue are served first, unless a successor accepts them from the shared
-        socket.
+        Before the listening socket for clients closes, the connections in its accept queue are accepted and
+        served, because closing the socket would reset them. If a successor has taken over, they stay in the
+        queue: the successor has the same listening socket open and accepts them.
         """
         self._predecessor_side.stop_listening()
         self._listener.stop_accepting()
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -154,7 +154,7 @@
         """
         transport = client.transport
         if transport is None:
-            return  # the connection has not been established
+            return  # not reached for a ClientConnection, which has its transport before it is registered
         transport.pause_reading()
         descriptor = os.dup(transport.get_extra_info("socket").fileno())
         self._link.send(Packet(PacketType.CONNECTION, descriptors=[descriptor]))
--- a/gateway/network/hot_restart/successor.py
+++ b/gateway/network/hot_restart/successor.py
@@ -14,12 +14,13 @@
 from gateway.network.hot_restart.socket_file import SocketFile
 
 # While the predecessor runs, the successor uses only the descriptors within the configured limit that the
-# predecessor does not hold, but at least this many, so that it can serve beside any predecessor.
+# predecessor does not hold, but at least this many. It can therefore serve clients even if the predecessor
+# holds nearly all of them.
 MIN_INITIAL_DESCRIPTORS = 64
 
 
 class SuccessorSide:
-    """Requests the service from the predecessor, and restores the state and the sockets that it sends."""
+    """Requests the handover from the predecessor, and restores the state and the sockets that it sends."""
 
     def __init__(
         self,
@@ -28,7 +29,10 @@
         socket_file: SocketFile | None,
         tasks: BackgroundTasks,
     ) -> None:
-        """Connect to nothing yet; `gateway` gets the restored state, and `listener` the listening socket."""
+        """Open no link yet, which `connect` does.
+
+        A takeover restores the state in `gateway`, and passes the listening socket for clients to `listener`.
+        """
         self._gateway = gateway
         self._listener = listener
         self._socket_file = socket_file
@@ -39,7 +43,10 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether the link to a predecessor is open."""
+        """Whether `connect` has succeeded and the end of the link has not been handled yet.
+
+        If the link closes before `take_over` is called, the value stays True.
+        """
         return self._predecessor is not None
 
     def connect(self) -> bool:
@@ -54,10 +61,13 @@
         return True
 
     async def take_over(self) -> None:
-        """Request the service, and wait until the state is restored and the sockets are open.
+        """Request the handover, and wait until the state is restored and the sockets are open.
+
+        If the link has closed between `connect` and this call, the wait does not end, so the caller has to
+        set a timeout.
 
-        Raises HandoverError if the state cannot be restored, and ConnectionError if the predecessor is not
-        connected or closes the link before the state is complete.
+        Raises HandoverError if the state cannot be restored. Raises ConnectionError if `connect` has not
+        succeeded, or if the link closes during the wait.
         """
         if self._predecessor is None:
             raise ConnectionError("no predecessor is connected")
@@ -66,7 +76,10 @@
         await self._takeover
 
     def close(self) -> None:
-        """Close the link to the predecessor, if it is open, without notifying the gateway."""
+        """Close the link to the predecessor, if it is open, when this process ends.
+
+        Unlike `abort`, the gateway is not notified that the predecessor has ended.
+        """
         link = self._predecessor
         self._predecessor = None
         if link is not None:
@@ -87,7 +100,14 @@
         packet.close_descriptors()
 
     def on_link_closed(self, link: PacketLink) -> None:
-        """Fail a takeover in progress; after one, notify the gateway that the predecessor has ended."""
+        """Handle the end of the link to the predecessor.
+
+        During the wait in `take_over`, that call fails with a ConnectionError. Once the wait is over, the
+        gateway is notified that the predecessor has ended. This is also done if the wait has ended by a
+        timeout or a HandoverError, after which `abort` closes the link and nothing has been taken over.
+
+        Does nothing after `close`, or if `take_over` has not been called.
+        """
         if link is not self._predecessor or self._takeover is None:
             return
         self._predecessor = None
@@ -99,14 +119,18 @@
             )
 
     def abort(self) -> None:
-        """Close the link to a predecessor that has not handed over."""
+        """Close the link to the predecessor after a failed takeover, if it is still open.
+
+        `on_link_closed` then notifies the gateway that the predecessor has ended.
+        """
         if self._predecessor is not None:
             self._predecessor.close()
 
     def _finish_takeover(self, link: PacketLink, takeover: asyncio.Future[None], packet: Packet) -> None:
         try:
             self._restore(link, packet)
-        except Exception as error:  # an invalid state, as of another version, must not prevent the start
+        # A state that cannot be decoded, for example one from another version, must not prevent the start.
+        except Exception as error:
             takeover.set_exception(HandoverError(f"the predecessor's state cannot be restored: {error!r}"))
             return
         self._encoded_state.clear()
--- a/gateway/network/upstream/endpoint_registry.py
+++ b/gateway/network/upstream/endpoint_registry.py
@@ -17,11 +17,13 @@
     def update(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
         """Apply a snapshot or an incremental update of the endpoint list.
 
-        An endpoint that is no longer ready or has restarted is retired: its idle connections are closed, and
-        its attempts that wait for a connection fail.
+        An endpoint that is no longer ready, has restarted or has another address is retired: its idle
+        connections are closed, and its attempts that wait for a connection fail. A snapshot also retires
+        each endpoint that it does not contain.
 
-        Returns the displaced endpoints: the list does not withdraw them, but another ready endpoint now has
-        their address and would receive their attempts, so they are retired as well.
+        Returns the entries of displaced endpoints. The list neither removes such an endpoint nor states that
+        it is no longer ready, but another ready endpoint now has its address and would receive its attempts.
+        Displaced endpoints are therefore retired as well.
         """
         if endpoint_list.is_snapshot:
             self._retire_unlisted(endpoint_list)
@@ -35,13 +37,18 @@
             self._retire(endpoint_id)
 
     def _apply_entry(self, entry: EndpointEntry) -> None:
+        """Add, update or retire the endpoint of an entry.
+
+        A ready endpoint with an unchanged address and start time keeps its connections. Otherwise the present
+        endpoint with this id, if there is one, is retired, and a new one is added if the entry is ready.
+        """
         endpoint_id = entry.endpoint.id
         is_ready = entry.endpoint.state is EndpointState.READY
-        registered = self.endpoints.get(endpoint_id)
-        if registered is not None and is_ready and registered.is_same_process(entry):
-            registered.entry = entry
+        current_endpoint = self.endpoints.get(endpoint_id)
+        if current_endpoint is not None and is_ready and current_endpoint.is_same_process(entry):
+            current_endpoint.entry = entry
             return
-        if registered is not None:
+        if current_endpoint is not None:
             self._retire(endpoint_id)
         if is_ready:
             self.endpoints[endpoint_id] = UpstreamEndpoint(entry)
@@ -49,10 +56,11 @@
     def _retire_displaced(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
         """Retire the endpoints displaced from their address, and return their entries.
 
-        An endpoint is displaced by a ready endpoint with the same address that started at the same time or
-        later.
+        An endpoint is displaced by another ready endpoint of the list with the same address that started at
+        the same time or later. If several ready endpoints of the list have the same address, only the last
+        of them can displace others.
         """
-        successors = {
+        ready_by_address = {
             entry.address: entry.endpoint
             for entry in endpoint_list.entries
             if entry.endpoint.state is EndpointState.READY
@@ -60,10 +68,10 @@
         displaced = []
         for endpoint_id, endpoint in list(self.endpoints.items()):
             entry = endpoint.entry
-            successor = successors.get(entry.address)
-            if successor is None or successor.id == endpoint_id:
+            ready_endpoint = ready_by_address.get(entry.address)
+            if ready_endpoint is None or ready_endpoint.id == endpoint_id:
                 continue
-            if successor.started_at_ms >= entry.endpoint.started_at_ms:
+            if ready_endpoint.started_at_ms >= entry.endpoint.started_at_ms:
                 self._retire(endpoint_id)
                 displaced.append(entry)
         return displaced
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -15,13 +15,15 @@
 # Expected time, in milliseconds, from a lease request to its reply, until the first reply is received.
 INITIAL_EXPECTED_REPLY_MS = 60.0
 
-# A reply is overdue after this multiple of the expected reply time, or after the minimum, in milliseconds, if
-# that is later.
+# A quota leader's reply to a lease request is overdue after this multiple of the expected reply time.
 OVERDUE_FACTOR = 2.5
+
+# Minimum time, in milliseconds, after which a reply is overdue, however short the expected reply time is. It
+# does not apply to a silent leader, whose reply is overdue at once.
 MIN_OVERDUE_MS = 30.0
 
-# If a request ends before its leader's reply, the reply counts as having taken this multiple of the request's
-# time in the gateway.
+# If a request ends before its leader's reply, the time of the reply is unknown. The expected reply time then
+# moves toward this multiple of the request's time in the gateway, unless it is already longer.
 MISSED_REPLY_FACTOR = 2.0
 
 # The lease requests of one customer may fill this fraction of its leader's gossip inbox, or arrive at this
@@ -29,7 +31,8 @@
 CUSTOMER_INBOX_FRACTION = 0.5
 CUSTOMER_QUOTA_FACTOR = 2.0
 
-# Number of lease requests sent for one request before the leader counts as silent.
+# Maximum number of lease requests sent for one request. If the reply to the last of them is overdue, the
+# leader counts as silent. If the request cannot wait any longer, one lease request without a reply suffices.
 MAX_LEASE_REQUESTS = 2
 
 # Interval, in milliseconds, at which a request whose leader is silent tries the local bucket again.
@@ -63,11 +66,11 @@
     def admit(self, request: RequestRecord, max_reply_wait_ms: float) -> bool:
         """Admit a request from the local bucket, or request a lease; return whether it is admitted now.
 
-        Only a plan with a quota on the rate and none in flight is served from the local bucket here. If the
-        leader's reply is expected later than `max_reply_wait_ms`, the bucket need not hold enough units, but
-        must not be in debt. If the request is not admitted now, the listener receives the leader's reply
-        later, or a DENY during this call if the customer sends more lease requests than the leader's inbox
-        permits.
+        The local bucket is used here only if the plan has a quota on the rate (`rate_per_s`) and no quota on
+        concurrent requests (`max_in_flight`), which only the leader counts for all gateways. If the leader's
+        reply is expected later than `max_reply_wait_ms`, the bucket need not hold enough units, but must not
+        be in debt. If the request is not admitted now, the listener receives the leader's reply later, or a
+        DENY during this call if the customer sends more lease requests than the leader's inbox permits.
         """
         account = request.account
         plan = request.plan
@@ -87,12 +90,19 @@
     def on_reply_overdue(self, request: RequestRecord, *, is_last: bool = False) -> bool:
         """Handle an overdue reply; return whether the request is admitted optimistically.
 
-        The first overdue reply repeats the lease request. After that, or if the request cannot wait any
-        longer (`is_last`), the leader counts as silent. The request is then admitted if the local bucket is
-        not in debt and, under a quota in flight, if the customer has no other request in flight here.
+        The lease request is sent again if fewer than MAX_LEASE_REQUESTS have been sent, the leader does not
+        count as silent yet, and the request can wait for another reply. Otherwise the leader counts as
+        silent, and the request is admitted under these conditions: the local bucket is not in debt; if the
+        plan limits concurrent requests (`max_in_flight`), the account has no other admitted request that is
+        still open; and `_admit_locally` permits it.
+
+        Args:
+            request: A request that awaits quota. If the leader has replied, nothing is done.
+            is_last: Whether this is the last chance to admit the request, because its queue timeout is due.
         """
         if request.leader_replied:
-            return False  # the request is queued at its leader
+            # The reply was QUEUED: a GRANT admits the request, and a DENY ends it or admits it as overage.
+            return False
         account = self.accounts.refilled_account(request.arrival, request.plan)
         may_repeat = request.lease_requests < MAX_LEASE_REQUESTS and not is_last
         if may_repeat and account.leader not in self._silent_leaders:
@@ -111,8 +121,8 @@
     def on_reply(self, sender: int, entry: QuotaEntry) -> None:
         """Handle a leader's reply, and pass it to the listener.
 
-        The reply also updates the fleet's demand and the expected reply time. A GRANT or QUEUED is not passed
-        on if the request has drawn units already.
+        The reply also updates the customer's demand at all gateways, which the leader reports, and the
+        expected reply time. A GRANT or QUEUED is not passed on if the request has drawn units already.
         """
         request = self.leases.find_request(sender, entry)
         if request is None:
@@ -132,10 +142,11 @@
         self._listener.on_lease_reply(request, entry.kind)
 
     def release_lease(self, request: RequestRecord) -> None:
-        """Forget a request that ends, and return its unused units or its slot to the leader.
+        """Forget a request that ends, with or without a lease, and return units or a slot to the leader.
 
-        The units are unused if no attempt was sent. Under a quota in flight, the end of each admitted request
-        returns its slot.
+        A request that has drawn units returns them if no attempt was sent. If the plan limits concurrent
+        requests (`max_in_flight`), each such request returns its slot. Other requests return nothing. If the
+        leader has not replied to a lease request, the expected reply time is raised.
         """
         self.leases.remove(request)
         if request.lease_requests and not request.leader_replied:
@@ -144,7 +155,12 @@
             self._send_to_leader(EntryKind.RETURN, request)
 
     def _admit_locally(self, request: RequestRecord) -> bool:
-        """Admit a request from the local bucket if its ceiling permits it, and report that to the leader."""
+        """Admit a request from the local bucket and report that to the leader; return whether it is admitted.
+
+        The request is not admitted if this process has handed over to a successor, or if the plan has a
+        ceiling and this gateway's part of it holds fewer units than the request needs. The caller checks the
+        level of the quota's bucket, which may become negative.
+        """
         account = request.account
         units = request.arrival.units
         if self._role.is_retired or (request.plan.ceiling_per_s and units > account.ceiling_level):
@@ -158,6 +174,9 @@
     def _is_within_inbox_limit(self, request: RequestRecord) -> bool:
         """Return whether a lease request may be sent for a request.
 
+        The limit applies to the customer's demand at all gateways, as its leader reported it last. A demand
+        that is below the limit or unknown permits each lease request. So does a `gossip_inbox_per_s` of 0.
+
         A customer that exceeds its quota many times over would overflow the inbox of its leader. The messages
         lost there are those of all customers. For such a customer, lease requests are therefore sent for a
         random sample of its requests only.
@@ -183,7 +202,10 @@
             self._send(sender, entry._replace(kind=EntryKind.RETURN))
 
     def _update_expected_reply(self, sender: int, request: RequestRecord) -> None:
-        """Update the expected reply time by the first reply to a request's only lease request.
+        """Update the expected reply time from the time that a reply took.
+
+        Only the first reply to a request counts, and only if one lease request was sent for it. After a
+        repetition it is not known which of the lease requests the reply answers.
 
         Replies of this gateway to itself take no time and are not counted.
         """
