--- a/gateway/network/hot_restart/coordinator.py
+++ b/gateway/network/hot_restart/coordinator.py
@@ -29,8 +29,8 @@
 class HotRestart:
     """Takes over the service from a predecessor, serves clients, and hands over to a successor.
 
-    Owns the listening socket for clients and the links to both processes. Without a predecessor, it binds new
-    sockets.
+    Owns the listening socket for clients and the links to both processes. New sockets are bound only without
+    a predecessor or after a failed takeover.
     """
 
     def __init__(self, gateway: Gateway) -> None:
--- a/gateway/network/hot_restart/successor.py
+++ b/gateway/network/hot_restart/successor.py
@@ -104,7 +104,7 @@
 
         During the wait in `take_over`, that call fails with a ConnectionError. Once the wait is over, the
         gateway is notified that the predecessor has ended. This is also done if the wait has ended by a
-        timeout or a HandoverError, after which `abort` closes the link and nothing has been taken over.
+        timeout or a HandoverError and `abort` closes the link, even if nothing has been taken over.
 
         Does nothing after `close`, or if `take_over` has not been called.
         """
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -146,7 +146,7 @@
 
         A request that has drawn units returns them if no attempt was sent. If the plan limits concurrent
         requests (`max_in_flight`), each such request returns its slot. Other requests return nothing. If the
-        leader has not replied to a lease request, the expected reply time is raised.
+        leader has not replied to a lease request, the expected reply time may be raised.
         """
         self.leases.remove(request)
         if request.lease_requests and not request.leader_replied:
