--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -117,7 +117,7 @@
             case events.RequestCompleted():
                 self.flow.on_completed(request, event)
             case events.ClientDisconnected():
-                self.flow.close(request)
+                self.flow.close_request(request)
 
     def _on_endpoint_update(self, update: events.EndpointUpdate) -> None:
         if update.failed:
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -95,7 +95,7 @@
         if request is None:
             return
         if event.final:
-            self.close(request)
+            self.close_request(request)
         elif not request.in_flight_endpoints and not self.attempts.start_additional_attempt(request):
             self.reject_or_fail(request)
 
@@ -150,9 +150,9 @@
         if request.request_class.key_scope is KeyScope.ALL:
             is_harmless = is_harmless or self._turn.now_ms + retry_after_ms < resend_deadline_at_ms
         self._add_action(Reject(request.id, retry_after_ms) if is_harmless else Fail(request.id))
-        self.close(request)
+        self.close_request(request)
 
-    def close(self, request: RequestRecord) -> None:
+    def close_request(self, request: RequestRecord) -> None:
         """Remove a request that needs no further answer, and cancel its attempts in flight."""
         self.open_requests.pop(request.id, None)
         request.account.in_flight -= not request.awaits_quota
--- a/tests/policy/quota/test_accounts.py
+++ b/tests/policy/quota/test_accounts.py
@@ -40,7 +40,7 @@
     assert len(accounts) == 1  # one request is open
 
     for request in list(controller.flow.open_requests.values()):
-        controller.flow.close(request)
+        controller.flow.close_request(request)
     drop_idle_state(controller, late + IDLE_RETENTION_MS)
     assert not accounts and not buckets
 
