--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -215,7 +215,7 @@
         self.role.on_successor_ended()
         if not self.role.is_ready:
             return False
-        hot_restart.resume(self.controller_loop.controller, self.clock.now())
+        hot_restart.end_retirement(self.controller_loop.controller, self.clock.now())
         self.gossip_socket.start_receiving()
         self._limit_descriptors(self.config.max_descriptors)
         return True
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -74,7 +74,7 @@
     _restore_request_flow(controller, state)
 
 
-def resume(controller: Controller, now_ms: float) -> None:
+def end_retirement(controller: Controller, now_ms: float) -> None:
     """End the retirement of this process after its successor has ended.
 
     All buckets are empty, as after a restart, because the successor may have used their units.
--- a/tests/policy/state_transfer/test_hot_restart.py
+++ b/tests/policy/state_transfer/test_hot_restart.py
@@ -124,7 +124,7 @@
     assert sum(ceiling_levels(successor)) == before and not predecessor.flow.leader.buckets
     accounts = predecessor.flow.lease_client.accounts.by_key.values()
     assert all(account.ceiling_level == account.quota_level == 0 for account in accounts)
-    hot_restart.resume(predecessor, now + 5)  # the successor has ended; what it granted is unknown
+    hot_restart.end_retirement(predecessor, now + 5)  # the successor has ended; what it granted is unknown
     predecessor.handle(now + 5, arrivals([2], now + 5, "capped"))
     (bucket,) = predecessor.flow.leader.buckets.values()
     # The successor may have granted the whole burst of the quota, which is 16 units.
