--- a/gateway/interface/settings.py
+++ b/gateway/interface/settings.py
@@ -133,7 +133,7 @@
     gossip_inbox_per_s: float = 0.0  # datagrams per second that a gateway can receive; 0: no limit
     poll_within_ms: float = 10_000.0  # maximum time between two requests for endpoint updates
     drain_grace_ms: float = 1000.0  # time for which a draining endpoint still accepts new requests
-    report_how: str = "none"  # how endpoints send load reports; read, but not used
+    load_report_method: str = "none"  # how endpoints send load reports; read, but not used
     report_fields: tuple[str, ...] = ()  # names of the values of a load report, in their order
     cross_zone_price: float = 0.0  # read, but not used
     peer_price: float = 0.0  # read, but not used
--- a/gateway/interface/settings_reader.py
+++ b/gateway/interface/settings_reader.py
@@ -164,7 +164,7 @@
     _Field("post_paid", "postPaid", JsonObject.flag, False, _Section.DOMAIN),
     _Field("max_retry_after_ms", "maxRetryAfterMs", _max_retry_after_ms, 0.0, _Section.LIMITS),
     _Field("gossip_inbox_per_s", "inboxPerS", JsonObject.number, 0.0, _Section.DOMAIN),
-    _Field("report_how", "how", JsonObject.text, "none", _Section.REPORT),
+    _Field("load_report_method", "how", JsonObject.text, "none", _Section.REPORT),
     _Field("report_fields", "fields", JsonObject.strings, section=_Section.REPORT),
     _Field("cross_zone_price", "crossZone", JsonObject.number, 0.0, _Section.PENALTIES),
     _Field("peer_price", "peer", JsonObject.number, 0.0, _Section.PENALTIES),
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -56,7 +56,7 @@
         post_paid=True,
         max_retry_after_ms=1000,
         gossip_inbox_per_s=60,
-        report_how="answers",
+        load_report_method="answers",
         report_fields=("util", "inflight"),
     )
     values.update(more)
