--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -115,7 +115,7 @@
             case events.BodyReleased():
                 request.body_released = True
             case events.RequestCompleted():
-                self.flow.on_completed(request, event)
+                self.flow.on_request_completed(request, event)
             case events.ClientDisconnected():
                 self.flow.close_request(request)
 
@@ -190,7 +190,7 @@
         match timer.kind:
             case TimerKind.CONTROL_PERIOD:
                 self._run_control_period()
-            case TimerKind.LEADER_SERVE:
+            case TimerKind.SERVE_LEASE_QUEUE:
                 self.flow.leader.on_timer(timer.subject)
             case TimerKind.SUBSCRIBE if self.settings.must_subscribe:
                 self.context.turn.actions.append(SubscribeEndpoints())
--- a/gateway/policy/quota/account.py
+++ b/gateway/policy/quota/account.py
@@ -8,21 +8,22 @@
 from gateway.interface.settings import Plan
 from gateway.policy.decay import NEVER_MS
 from gateway.policy.quota.ceiling import LOCAL_CEILING_FRACTION
-from gateway.policy.quota.demand import DEMAND_MEMORY_MS, decayed_demand, demand_per_s
+from gateway.policy.quota.demand import DEMAND_TIME_CONSTANT_MS, decayed_demand, demand_per_s
 from gateway.policy.quota.token_bucket import refilled_level
 
-# Fraction of a plan's burst that the local buckets of all gateways hold together.
+# Fraction of the burst of a plan's quota that all gateways together can hold in their local buckets.
 LOCAL_BURST_FRACTION = 0.03
 
-# Age, in milliseconds, at which the fleet's demand that a quota leader reported is no longer used.
-MAX_FLEET_DEMAND_AGE_MS = 2 * DEMAND_MEMORY_MS
+# Age, in milliseconds, beyond which the fleet's demand is discarded: the value that a quota leader reported
+# no longer reflects the recent requests.
+MAX_FLEET_DEMAND_AGE_MS = 2 * DEMAND_TIME_CONSTANT_MS
 
 
 class AccountKey(NamedTuple):
     """The key of an account: the customer, its plan and its set of gateways.
 
     Requests of one customer that name different plans or sets of gateways use separate accounts. A request
-    with a wrong plan or set therefore does not change the account of the correct requests.
+    that names a wrong plan or set therefore does not change the account that the correct requests use.
     """
 
     customer: str
@@ -48,7 +49,10 @@
     in_flight: int = 0  # admitted requests that have not ended
 
     def refill(self, now_ms: float) -> None:
-        """Update the demand and both buckets to `now_ms`, and discard an outdated demand of the fleet."""
+        """Update the demand and both buckets to `now_ms`.
+
+        A demand of the fleet that is older than MAX_FLEET_DEMAND_AGE_MS is discarded.
+        """
         elapsed_s = self._elapsed_s(now_ms)
         self.refilled_at_ms = now_ms
         self.demand = decayed_demand(self.demand, elapsed_s)
@@ -73,7 +77,8 @@
     def is_replaceable(self, now_ms: float) -> bool:
         """Return whether a new account may replace this one without granting units twice.
 
-        This holds if the local bucket is not in debt and the ceiling's bucket, if there is one, is full.
+        This is the case if the local bucket is not in debt and the plan either has no ceiling or its bucket
+        is full.
         """
         plan = self.plan
         elapsed_s = self._elapsed_s(now_ms)
@@ -89,7 +94,7 @@
         return (now_ms - self.refilled_at_ms) / 1000
 
     def _demand_fraction(self) -> float:
-        """Return this gateway's fraction of the fleet's demand; an even split if that is unknown."""
+        """Return this gateway's fraction of the fleet's demand; an equal part if the demand is unknown."""
         if not self.fleet_demand_per_s:
             return 1 / self.spread
         return min(1.0, demand_per_s(self.demand) / self.fleet_demand_per_s)
--- a/gateway/policy/quota/accounts.py
+++ b/gateway/policy/quota/accounts.py
@@ -2,9 +2,9 @@
 
 The local bucket of an account admits requests without a message to another gateway. It fills at the rate of
 the customer's quota times this gateway's fraction of the customer's recent demand. If the customer's set of
-gateways is large, that fraction of the burst is less than one request. In a departure from the paper, one
-gateway of the set is therefore the customer's quota leader. The leader keeps a bucket for the customer, from
-which it leases units to all gateways.
+gateways is large, that fraction of the burst is less than one request needs. In a departure from the paper,
+one gateway of the set is therefore the customer's quota leader. The leader keeps a bucket for the customer,
+from which it leases units to all gateways.
 """
 
 from collections.abc import Iterable
@@ -29,20 +29,20 @@
         self.by_key: dict[AccountKey, CustomerAccount] = {}
 
     def refilled_account(self, arrival: RequestArrived, plan: Plan) -> CustomerAccount:
-        """Return the account of a request's customer, refilled; the first request adds the account."""
+        """Return the account of a request's customer, refilled; add the account at the first request."""
         key = AccountKey(arrival.customer, plan.name, arrival.spread, arrival.first_gateway)
         account = self.by_key.get(key)
         if account is None:
-            account = self.create(key, plan)
+            account = self.new_account(key, plan)
             self.by_key[key] = account
         account.refill(self._turn.now_ms)
         return account
 
-    def create(self, key: AccountKey, plan: Plan) -> CustomerAccount:
+    def new_account(self, key: AccountKey, plan: Plan) -> CustomerAccount:
         """Return a new account, which the caller adds to `by_key`.
 
-        Its ceiling's bucket holds only the units that have accrued since the gateway started, because all
-        earlier units may have been used before.
+        The bucket for the ceiling holds only the units that have accrued since the gateway started. Units
+        that accrued before the start may already have been used.
         """
         gateways = self._settings.gateways
         spread = max(1, min(key.spread, gateways))
@@ -56,8 +56,8 @@
     def drop_idle_accounts(self, open_requests: Iterable[RequestRecord]) -> None:
         """Drop accounts without open requests that a new account can replace.
 
-        An account that is in debt or whose ceiling is not full stays: a new account would grant the missing
-        units again.
+        An account that is in debt, or whose bucket for the ceiling is not full, is kept: a new account would
+        grant the missing units again.
         """
         open_accounts = {id(request.account) for request in open_requests}
         now_ms = self._turn.now_ms
--- a/gateway/policy/quota/ceiling.py
+++ b/gateway/policy/quota/ceiling.py
@@ -17,9 +17,10 @@
 
 
 def initial_ceiling_level(gateway_age_ms: float, plan: Plan) -> float:
-    """Return the initial level of a whole ceiling, of which each new bucket gets its fraction.
+    """Return the units of a plan's ceiling that have accrued since the gateway started.
 
-    The ceiling counts as empty when the gateway starts, and fills from then on: a full one would grant again
-    what was granted before a restart.
+    The caller multiplies them by the fraction of the ceiling that belongs to its new bucket. The level is 0
+    at the start of the gateway and then rises to the ceiling's burst. With a full bucket at the start, units
+    that were granted before a restart could be granted again.
     """
     return min(plan.ceiling_burst, plan.ceiling_per_s * gateway_age_ms / 1000)
--- a/gateway/policy/quota/demand.py
+++ b/gateway/policy/quota/demand.py
@@ -4,15 +4,15 @@
 
 from gateway.policy.decay import decay
 
-# Time constant, in milliseconds, with which the units of earlier requests decay in a customer's demand.
-DEMAND_MEMORY_MS = 3000.0
+# Time constant, in milliseconds, of the exponential decay of a customer's demand.
+DEMAND_TIME_CONSTANT_MS = 3000.0
 
 
 def decayed_demand(demand: float, elapsed_s: float) -> float:
     """Return the part of a demand that remains after `elapsed_s` seconds without requests."""
-    return demand * decay(elapsed_s * 1000, DEMAND_MEMORY_MS)
+    return demand * decay(elapsed_s * 1000, DEMAND_TIME_CONSTANT_MS)
 
 
 def demand_per_s(demand: float) -> float:
-    """Return the constant rate, in units per second, that would sustain a demand."""
-    return demand * 1000 / DEMAND_MEMORY_MS
+    """Return the constant request rate, in units per second, at which a demand stays at this value."""
+    return demand * 1000 / DEMAND_TIME_CONSTANT_MS
--- a/gateway/policy/quota/entry_sender.py
+++ b/gateway/policy/quota/entry_sender.py
@@ -13,6 +13,6 @@
     def __call__(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
         """Send an entry to a gateway.
 
-        During a hot restart this gateway has two processes; an entry to this gateway with an `incarnation`
-        goes to the process with that incarnation.
+        During a hot restart a gateway has two processes. `incarnation` identifies the process that the entry
+        is for; with None, the entry is for the process that admits requests.
         """
--- a/gateway/policy/quota/leader_bucket.py
+++ b/gateway/policy/quota/leader_bucket.py
@@ -29,7 +29,7 @@
     entry: QuotaEntry  # the entry that requested the lease
     priority_weight: float
     received_at_ms: float
-    expires_at_ms: float  # from then on a grant would leave too little time for the response
+    expires_at_ms: float  # a later grant would leave too little time for the response
 
 
 @dataclass(slots=True, eq=False)
@@ -43,8 +43,10 @@
     ceiling_level: float = 0.0  # units left in the leader's fraction of the ceiling
     demand: float = 0.0  # exponentially decaying sum of the units requested by all gateways
     queue: list[LeaseRequest] = field(default_factory=list)
-    slot_expiries_ms: dict[LeaseKey, float] = field(default_factory=dict)  # by lease, under a quota in flight
-    grant_times_ms: dict[LeaseKey, float] = field(default_factory=dict)  # grants and uses, by lease
+    # Times at which the slots of a quota on requests in flight are freed, by lease.
+    slot_expiries_ms: dict[LeaseKey, float] = field(default_factory=dict)
+    # Times of grants, and of reports that units were used without a grant, by lease.
+    grant_times_ms: dict[LeaseKey, float] = field(default_factory=dict)
     serve_at_ms: float = math.inf  # time of the scheduled service of the queue; inf if there is none
 
     def refill(self, now_ms: float) -> None:
@@ -59,7 +61,7 @@
     def is_replaceable(self, now_ms: float) -> bool:
         """Return whether a new bucket may replace this one without granting units twice.
 
-        This holds if the quota and the ceiling are full, nothing is queued or scheduled, and no slot is
+        This is the case if the quota and the ceiling are full, nothing is queued or scheduled, and no slot is
         occupied.
         """
         plan = self.plan
@@ -67,7 +69,7 @@
         if (
             self.queue
             or self.serve_at_ms != math.inf
-            or any(until > now_ms for until in self.slot_expiries_ms.values())
+            or any(expiry_ms > now_ms for expiry_ms in self.slot_expiries_ms.values())
         ):
             return False
         if refilled_level(self.quota_level, plan.rate_per_s, elapsed_s, plan.burst) < plan.burst:
@@ -78,7 +80,7 @@
         """Return whether the queue contains a lease request with this key."""
         return any(queued.key == key for queued in self.queue)
 
-    def remove_request(self, key: LeaseKey) -> None:
+    def remove_lease_request(self, key: LeaseKey) -> None:
         """Remove the lease request with this key from the queue, if it is there."""
         self.queue = [queued for queued in self.queue if queued.key != key]
 
@@ -87,11 +89,14 @@
         self.queue = [queued for queued in self.queue if queued.expires_at_ms > now_ms]
         if self.slot_expiries_ms:
             self.slot_expiries_ms = {
-                key: until_ms for key, until_ms in self.slot_expiries_ms.items() if until_ms > now_ms
+                key: expiry_ms for key, expiry_ms in self.slot_expiries_ms.items() if expiry_ms > now_ms
             }
 
     def oldest_grant_at_ms(self) -> float:
-        """Return the time of the oldest remembered grant; there has to be one."""
+        """Return the time of the oldest remembered grant.
+
+        Raises StopIteration if no grant is remembered.
+        """
         return next(iter(self.grant_times_ms.values()))
 
     def forget_grants(self, now_ms: float, max_age_ms: float) -> None:
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -20,37 +20,40 @@
 OVERDUE_FACTOR = 2.5
 MIN_OVERDUE_MS = 30.0
 
-# If a request ends before its leader's reply, the reply counts as having taken this multiple of the request's
-# time in the gateway.
+# If a request ends before its leader's reply arrives, this multiple of the request's time in the gateway is
+# assumed as the reply time.
 MISSED_REPLY_FACTOR = 2.0
 
-# The lease requests of one customer may fill this fraction of its leader's gossip inbox, or arrive at this
-# multiple of the rate of the customer's quota, whichever is more.
+# Limit on the rate of one customer's lease requests at its leader, which is the greater of two bounds: a
+# fraction of the rate of the leader's gossip inbox, and a multiple of the rate of the customer's quota.
 CUSTOMER_INBOX_FRACTION = 0.5
 CUSTOMER_QUOTA_FACTOR = 2.0
 
-# Number of lease requests sent for one request before the leader counts as silent.
+# Maximum number of lease requests that are sent for one request. If the reply to the last of them is overdue,
+# the leader counts as silent.
 MAX_LEASE_REQUESTS = 2
 
-# Interval, in milliseconds, at which a request whose leader is silent tries the local bucket again.
-SILENT_LEADER_RETRY_MS = 250.0
+# Interval, in milliseconds, at which the gateway again tries to admit a waiting request from the local bucket
+# while the request's quota leader is silent.
+SILENT_LEADER_RETRY_INTERVAL_MS = 250.0
 
 
-class QuotaListener(Protocol):
+class LeaseReplyListener(Protocol):
     """Receives the replies of quota leaders to lease requests."""
 
-    def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
+    def on_lease_reply(self, request: RequestRecord, reply_kind: EntryKind) -> None:
         """Handle the leader's reply about a request: GRANT, QUEUED or DENY."""
 
 
 class LeaseClient(PolicyComponent):
     """Admits requests from the local buckets and by leases of the quota leaders.
 
-    While a customer's leader is silent, requests are admitted optimistically: each admission puts the local
-    bucket into debt, and the next one has to wait until the bucket has refilled.
+    While a customer's leader is silent, requests are admitted optimistically: a request is admitted even if
+    the local bucket holds too few units for it. Its units are subtracted all the same, and while the bucket
+    is in debt, no further request of the customer is admitted.
     """
 
-    def __init__(self, context: PolicyContext, listener: QuotaListener, send: EntrySender) -> None:
+    def __init__(self, context: PolicyContext, listener: LeaseReplyListener, send: EntrySender) -> None:
         super().__init__(context)
         self.accounts = QuotaAccounts(context)
         self.leases = LeaseTable(context.settings)
@@ -63,9 +66,9 @@
     def admit(self, request: RequestRecord, max_reply_wait_ms: float) -> bool:
         """Admit a request from the local bucket, or request a lease; return whether it is admitted now.
 
-        Only a plan with a quota on the rate and none in flight is served from the local bucket here. If the
-        leader's reply is expected later than `max_reply_wait_ms`, the bucket need not hold enough units, but
-        must not be in debt. If the request is not admitted now, the listener receives the leader's reply
+        The local bucket is used only if the plan has a quota on the rate and none on requests in flight. If
+        the leader's reply is expected later than `max_reply_wait_ms`, the bucket need not hold enough units,
+        but must not be in debt. If the request is not admitted now, the listener receives the leader's reply
         later, or a DENY during this call if the customer sends more lease requests than the leader's inbox
         permits.
         """
@@ -89,7 +92,8 @@
 
         The first overdue reply repeats the lease request. After that, or if the request cannot wait any
         longer (`is_last`), the leader counts as silent. The request is then admitted if the local bucket is
-        not in debt and, under a quota in flight, if the customer has no other request in flight here.
+        not in debt and, under a quota on requests in flight, if the customer has no other request in flight
+        at this gateway.
         """
         if request.leader_replied:
             return False  # the request is queued at its leader
@@ -99,7 +103,9 @@
             self._request_lease(request)
             return False
         self._silent_leaders.add(account.leader)
-        self._schedule(self._turn.now_ms + SILENT_LEADER_RETRY_MS, TimerKind.LEASE_REPLY_OVERDUE, request.id)
+        self._schedule(
+            self._turn.now_ms + SILENT_LEADER_RETRY_INTERVAL_MS, TimerKind.LEASE_REPLY_OVERDUE, request.id
+        )
         if account.quota_level < 0 or (request.plan.max_in_flight and account.in_flight):
             return False
         return self._admit_locally(request)
@@ -111,8 +117,8 @@
     def on_reply(self, sender: int, entry: QuotaEntry) -> None:
         """Handle a leader's reply, and pass it to the listener.
 
-        The reply also updates the fleet's demand and the expected reply time. A GRANT or QUEUED is not passed
-        on if the request has drawn units already.
+        The reply also updates the fleet's demand and the expected reply time. The listener does not receive a
+        GRANT or QUEUED for a request that has already drawn units.
         """
         request = self.leases.find_request(sender, entry)
         if request is None:
@@ -134,17 +140,20 @@
     def release_lease(self, request: RequestRecord) -> None:
         """Forget a request that ends, and return its unused units or its slot to the leader.
 
-        The units are unused if no attempt was sent. Under a quota in flight, the end of each admitted request
-        returns its slot.
+        The units are unused if no attempt was sent. Under a quota on requests in flight, every admitted
+        request returns its slot when it ends.
         """
-        self.leases.remove(request)
+        self.leases.remove_request(request)
         if request.lease_requests and not request.leader_replied:
             self._raise_expected_reply(request)
         if request.units_drawn and (not request.attempts_sent or request.plan.max_in_flight):
             self._send_to_leader(EntryKind.RETURN, request)
 
     def _admit_locally(self, request: RequestRecord) -> bool:
-        """Admit a request from the local bucket if its ceiling permits it, and report that to the leader."""
+        """Admit a request from the local bucket if the ceiling permits it, and report that to the leader.
+
+        Returns whether the request is admitted; a retired process admits none.
+        """
         account = request.account
         units = request.arrival.units
         if self._role.is_retired or (request.plan.ceiling_per_s and units > account.ceiling_level):
@@ -158,9 +167,9 @@
     def _is_within_inbox_limit(self, request: RequestRecord) -> bool:
         """Return whether a lease request may be sent for a request.
 
-        A customer that exceeds its quota many times over would overflow the inbox of its leader. The messages
-        lost there are those of all customers. For such a customer, lease requests are therefore sent for a
-        random sample of its requests only.
+        The lease requests of a customer that exceeds its quota many times over would overflow the inbox of
+        its leader, which would lose messages about all customers. For such a customer, lease requests are
+        therefore sent for a random sample of its requests only.
         """
         inbox_per_s = self._settings.gossip_inbox_per_s
         quota_limit_per_s = CUSTOMER_QUOTA_FACTOR * request.plan.rate_per_s
@@ -183,9 +192,9 @@
             self._send(sender, entry._replace(kind=EntryKind.RETURN))
 
     def _update_expected_reply(self, sender: int, request: RequestRecord) -> None:
-        """Update the expected reply time by the first reply to a request's only lease request.
+        """Update the expected reply time if this is the first reply to a request's only lease request.
 
-        Replies of this gateway to itself take no time and are not counted.
+        Replies that this gateway sends to itself take no time and are not counted.
         """
         is_first_reply = request.lease_requests == 1 and not request.leader_replied
         if is_first_reply and sender != self._settings.gateway_number:
--- a/gateway/policy/requests/attempt_table.py
+++ b/gateway/policy/requests/attempt_table.py
@@ -44,8 +44,8 @@
     def add(self, request: RequestRecord, endpoint: EndpointRecord, now_ms: float) -> AttemptKey:
         """Add a request's next attempt, update the records of the request and the endpoint, return its key.
 
-        The attempt counts as executing at its endpoint. Where no earlier attempt may have been executed,
-        the endpoint is recorded as the first endpoint that may know the idempotency key.
+        The attempt counts as executing at its endpoint. If no earlier attempt may have been executed, the
+        endpoint is recorded as the first endpoint that may know the idempotency key.
         """
         key = AttemptKey(request.id, request.attempts_sent)
         self._records[key] = AttemptRecord(endpoint, request.request_class)
@@ -62,8 +62,8 @@
     def set_executing(self, key: AttemptKey, is_executing: bool) -> int:
         """Set whether an attempt is executing at its endpoint.
 
-        Returns the change in the number of executing attempts: 1, -1, or 0. An attempt that has ended is left
-        as it is.
+        Returns the change in the number of executing attempts: 1, -1 or 0. For an attempt that has ended, the
+        call has no effect and returns 0.
         """
         attempt = self._records.get(key)
         if attempt is None or attempt.is_executing == is_executing:
--- a/gateway/policy/requests/attempts.py
+++ b/gateway/policy/requests/attempts.py
@@ -22,9 +22,9 @@
 
 MIN_HEDGE_DELAY_MS = 150.0  # minimum time between an attempt and its hedge
 MAX_HEDGE_UTILIZATION = 0.7  # fraction of the concurrency limit in use from which on no hedges are sent
-RETRIES_PER_REQUEST = 0.2  # retries or hedges that the first attempt of each request adds to the retry budget
+RETRIES_PER_REQUEST = 0.2  # retries or hedges by which a request's first attempt raises the budget
 MAX_RETRY_BUDGET = 20.0  # number of unused retries and hedges beyond which the retry budget does not grow
-MIN_ATTEMPT_TIMEOUT_MS = 1.0  # timeout of an attempt whose deadline is nearer than that
+MIN_ATTEMPT_TIMEOUT_MS = 1.0  # minimum timeout, even if the deadline is nearer
 
 _INCONCLUSIVE_RESULTS = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)  # no evidence about the endpoint
 
@@ -43,7 +43,7 @@
     def start_attempt(self, request: RequestRecord) -> bool:
         """Send a request to one more endpoint.
 
-        Returns False where no endpoint is eligible, or the request has had its maximum number of attempts.
+        Returns False if no endpoint is eligible, or if the request has had its maximum number of attempts.
         """
         endpoint = self.selector.choose_endpoint(request, self._eligible_endpoints(request))
         if endpoint is None or request.attempts_sent >= self._settings.max_attempts:
@@ -63,8 +63,8 @@
     def start_additional_attempt(self, request: RequestRecord) -> bool:
         """Start a retry or a hedge, which takes 1 from the retry budget.
 
-        Returns False where the response would be late, the start of the body has been discarded, the budget
-        is below 1, or no attempt can be started.
+        Returns False if the response would be late, the start of the body has been discarded, the budget is
+        below 1, or no attempt can be started.
         """
         response_at_ms = self._turn.now_ms + self.latencies.response_reserve_ms(request.request_class)
         is_late = response_at_ms > min(request.objective_at_ms, request.arrival.deadline_at_ms)
@@ -74,11 +74,11 @@
         return True
 
     def on_attempt_overdue(self, request: RequestRecord) -> None:
-        """Handle the hedge timer of a request, whose attempt has gone without a response for too long.
+        """Handle the hedge timer of a request, which expires when its latest attempt is overdue.
 
-        Every endpoint of its attempts in flight is charged with a failure, unless this process was stalled.
-        A hedge is sent where the settings permit hedges, the concurrency limit leaves capacity, and exactly
-        one attempt is in flight.
+        For each endpoint with an attempt of the request in flight, a failure is recorded, unless this process
+        was stalled. A hedge is sent if the settings permit hedges, the concurrency limit leaves capacity, and
+        exactly one attempt is in flight.
         """
         if not self._turn.follows_stall:
             for endpoint in request.in_flight_endpoints.values():
@@ -112,9 +112,10 @@
     def resend_deadline_at_ms(self, request: RequestRecord) -> float:
         """Return the time by which the last byte of a further attempt has to be sent.
 
-        Endpoints drop a duplicate within the deduplication window, which starts when the first attempt that
-        may have been executed is sent. The time is inf where a further attempt is harmless at any time, and
-        -inf where it never is.
+        The time is inf if a further attempt is harmless at any time, and -inf if it is never harmless. For a
+        request with an idempotency key, it is the end of the deduplication window, less one timer tick. The
+        window starts when the first attempt that may have been executed is sent, and endpoints drop
+        duplicates until it ends.
         """
         request_class = request.request_class
         if not request.possible_executions or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -131,7 +132,7 @@
     def on_attempt_ended(self, event: AttemptEnded, request: RequestRecord | None) -> None:
         """Remove an ended attempt, and update the estimates and its request by its result.
 
-        `request` is None where the request has ended before its attempt. Raises KeyError for an attempt that
+        `request` is None if the request has ended before its attempt. Raises KeyError for an attempt that
         is not in flight.
         """
         key = AttemptKey(event.id, event.attempt)
@@ -148,7 +149,7 @@
     def cancel_in_flight(self, request: RequestRecord, excluded_attempt: int | None = None) -> None:
         """Cancel a request's attempts in flight, except for the attempt with the number `excluded_attempt`.
 
-        This has no effect where the settings permit no cancellation.
+        This has no effect if the settings permit no cancellation.
         """
         if self._settings.may_cancel:
             for attempt_number in request.in_flight_endpoints:
@@ -156,10 +157,11 @@
                     self._add_action(CancelAttempt(request.id, attempt_number))
 
     def _eligible_endpoints(self, request: RequestRecord) -> EligibleEndpoints:
-        """Return the endpoints to which a further attempt may be sent, or None where all are permitted.
+        """Return the endpoints to which a further attempt may be sent, or None if all are permitted.
 
-        Where a request with an idempotency key may have been executed, these are the ready endpoints that
-        drop a duplicate of its key. The list is empty where no duplicate is permitted, or no longer.
+        If a request with an idempotency key may have been executed, these are the ready endpoints that drop a
+        duplicate of its key. The list is empty if no duplicate is permitted, or if the deduplication window
+        has ended.
         """
         key_endpoint = request.key_endpoint
         resend_deadline_at_ms = self.resend_deadline_at_ms(request)
@@ -182,7 +184,7 @@
         class_name = attempt.request_class.name
         latency_ratio = math.inf
         if event.result is AttemptResult.OK:
-            if not is_streaming:  # a streaming response has been counted at its start
+            if not is_streaming:  # a streaming response was counted when it started
                 self.limiter.on_response(attempt.request_class.latency_objective_ms)
             latency_ratio = event.elapsed_ms / self.latencies.expected_ms[class_name]
             if not self._turn.follows_stall:
--- a/gateway/policy/requests/request_flow.py
+++ b/gateway/policy/requests/request_flow.py
@@ -23,7 +23,7 @@
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 from gateway.policy.timers import TimerKind
 
-MAX_QUEUED_FRACTION = 0.45  # fraction of the time from arrival to deadline that a request may be queued
+MAX_QUEUED_FRACTION = 0.45  # maximum time in the queue, as a fraction of the time from arrival to deadline
 MIN_RETRY_AFTER_MS = 250.0  # minimum Retry-After of a rejection, unless the settings limit it to less
 DEADLINE_MARGIN_TICKS = 2  # timer ticks before its deadline at which an unserved request is answered
 
@@ -44,7 +44,7 @@
     def on_arrival(self, arrival: RequestArrived) -> None:
         """Open a new request, which is admitted, waits for its quota, or is rejected at once.
 
-        It is rejected where its class or plan is not in the settings, its deadline has passed, or a request
+        It is rejected if its class or plan is not in the settings, its deadline has passed, or a request
         with its id is open.
         """
         request_class = self._classes.get(arrival.class_name)
@@ -64,8 +64,8 @@
         if self.lease_client.admit(request, queue_timeout_at_ms - self._turn.now_ms):
             self.dispatcher.enqueue(request)
 
-    def on_completed(self, request: RequestRecord, event: RequestCompleted) -> None:
-        """Handle the last byte of a large request, at which its latency objective and its deadline start."""
+    def on_request_completed(self, request: RequestRecord, event: RequestCompleted) -> None:
+        """Handle the last byte of a large request, from which its latency objective and deadline count."""
         request.is_complete = True
         request.arrival = replace(request.arrival, deadline_at_ms=event.deadline_at_ms)
         request.objective_at_ms = self._turn.now_ms + request.request_class.latency_objective_ms
@@ -86,7 +86,7 @@
         """Handle the end of an attempt.
 
         A final attempt closes its request. Otherwise a request without further attempts in flight is retried,
-        or gets its final answer where no retry is possible.
+        or gets its final answer if no retry is possible.
         """
         if AttemptKey(event.id, event.attempt) not in self.attempts.table:
             return
@@ -99,24 +99,24 @@
         elif not request.in_flight_endpoints and not self.attempts.start_additional_attempt(request):
             self.reject_or_fail(request)
 
-    def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
-        """Handle the quota leader's verdict on a request: GRANT, QUEUED or DENY.
+    def on_lease_reply(self, request: RequestRecord, reply_kind: EntryKind) -> None:
+        """Handle the quota leader's reply about a request: GRANT, QUEUED or DENY.
 
-        A request without a grant is admitted as overage where its plan has no ceiling, and an overage weight
-        that exceeds the overage cost.
+        A request without a grant is admitted as overage if its plan has no ceiling and the overage weight
+        exceeds the overage cost.
         """
         if not request.awaits_quota:
             return
         plan = request.plan
         permits_overage = plan.overage_weight > plan.overage_cost and not plan.ceiling_per_s
-        if verdict is not EntryKind.GRANT and permits_overage:
-            self.lease_client.leases.remove(request)
+        if reply_kind is not EntryKind.GRANT and permits_overage:
+            self.lease_client.leases.remove_request(request)
             request.within_quota = False
             request.priority = request.priority * plan.overage_weight
-            verdict = EntryKind.GRANT
-        if verdict is EntryKind.GRANT:
+            reply_kind = EntryKind.GRANT
+        if reply_kind is EntryKind.GRANT:
             self.dispatcher.enqueue(request)
-        elif verdict is EntryKind.DENY:
+        elif reply_kind is EntryKind.DENY:
             self.reject_or_fail(request)
 
     def on_timer(self, kind: TimerKind, request: RequestRecord) -> None:
@@ -128,7 +128,7 @@
             case TimerKind.LEASE_EXPIRED:
                 self.on_lease_reply(request, EntryKind.DENY)
             case _ if request.attempts_sent and not request.is_complete:
-                pass  # the latency objective and the deadline start at the last byte of the request
+                pass  # the latency objective and the deadline count from the last byte of the request
             case TimerKind.HEDGE:
                 self.attempts.on_attempt_overdue(request)
             case TimerKind.QUEUE_TIMEOUT:
@@ -139,9 +139,9 @@
     def reject_or_fail(self, request: RequestRecord) -> None:
         """Give the final answer to a request that is not served, and close it.
 
-        The answer is Reject where a retry by the client is certain to be harmless, and otherwise Fail. For a
+        The answer is Reject if a retry by the client is certain to be harmless, and otherwise Fail. For a
         request that is not idempotent and may have been executed, a retry is harmless only if all endpoints
-        still know the idempotency key at that time.
+        still know the idempotency key when the client retries.
         """
         refill_ms = request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf)
         retry_after_ms = min(max(MIN_RETRY_AFTER_MS, refill_ms), self._settings.max_retry_after_ms)
@@ -164,8 +164,8 @@
     def _on_queue_timeout(self, request: RequestRecord) -> None:
         """Handle the end of the time for which a request may be queued.
 
-        A request whose quota leader has not replied may be admitted without a grant. Any other request
-        without an attempt is rejected.
+        A request that waits for its quota may be admitted without a grant if the quota leader has not
+        replied. Any other request for which no attempt was sent gets its final answer.
         """
         if request.awaits_quota and self.lease_client.on_reply_overdue(request, is_last=True):
             self.dispatcher.enqueue(request)
--- a/gateway/policy/requests/request_record.py
+++ b/gateway/policy/requests/request_record.py
@@ -31,7 +31,7 @@
     account: CustomerAccount
     arrived_at_ms: float
     objective_at_ms: float  # time up to which a response meets the latency objective
-    priority: float  # requests with greater values are dispatched first
+    priority: float  # requests with greater values are dispatched earlier
     phase: RequestPhase = RequestPhase.AWAITING_QUOTA
     is_complete: bool = True  # the last byte of the request has been received from the client
     body_released: bool = False  # the start of the body has been discarded, so no further attempt is possible
--- a/gateway/policy/state_transfer/hot_restart.py
+++ b/gateway/policy/state_transfer/hot_restart.py
@@ -1,9 +1,9 @@
 """The transfer of a gateway's state between its processes during a hot restart.
 
-The predecessor exports what its successor needs to continue as the same gateway: the units that are spent
-(as levels of accounts and buckets), the leases of other gateways, and the estimates of the endpoints. Open
-requests stay with the predecessor. For customers whose leader is this gateway, the predecessor sends its
-lease requests to the successor.
+The predecessor exports the state that its successor needs to continue as the same gateway: the levels of
+accounts and buckets, from which spent units are missing, the leases of other gateways, and the estimates of
+the endpoints. Open requests stay with the predecessor. For customers whose leader is this gateway, the
+predecessor sends its lease requests to the successor.
 """
 
 from gateway.policy.context import INCARNATION_COUNT
@@ -18,22 +18,23 @@
     LimiterSnapshot,
 )
 
-# Distance between the last lease ids of the predecessor and its successor: half of all lease ids. Other
-# gateways send replies to either process at the same gateway number, so that both must not use the same ids.
+# Offset from the predecessor's last lease id to that of its successor, which is half of all lease ids. Other
+# gateways address their replies to both processes by the same gateway number, so the processes must not use
+# the same lease ids at the same time.
 LEASE_ID_DISTANCE = 0x8000
 
 
 def export_state(controller: Controller, now_ms: float) -> GatewayState:
     """Return the state for the successor, and retire this process.
 
-    A retired process grants no leases and admits nothing from local buckets; its buckets are emptied.
+    A retired process grants no leases and admits no requests from local buckets; its buckets are emptied.
     """
     role = controller.context.role
     flow = controller.flow
     state = GatewayState(
         exported_at_ms=now_ms,
         incarnation=role.incarnation,
-        last_lease_id=flow.lease_client.leases.last_id,
+        last_lease_id=flow.lease_client.leases.last_lease_id,
         started_at_ms=role.started_at_ms,
         expected_reply_ms=flow.lease_client.expected_reply_ms,
         accounts=_account_snapshots(controller),
@@ -65,7 +66,7 @@
     # This incarnation differs from the predecessor's for any seed.
     role.incarnation = (state.incarnation + 1) % INCARNATION_COUNT
     lease_client = controller.flow.lease_client
-    lease_client.leases.last_id = (state.last_lease_id + LEASE_ID_DISTANCE) % MAX_LEASE_ID
+    lease_client.leases.last_lease_id = (state.last_lease_id + LEASE_ID_DISTANCE) % MAX_LEASE_ID
     lease_client.expected_reply_ms = state.expected_reply_ms
     controller.context.turn.now_ms = now_ms
     _restore_accounts(controller, state.accounts, shift_ms)
@@ -77,7 +78,7 @@
 def end_retirement(controller: Controller, now_ms: float) -> None:
     """End the retirement of this process after its successor has ended.
 
-    All buckets are empty, as after a restart, because the successor may have used their units.
+    All buckets start empty, as after a restart, because the successor may have used their units.
     """
     role = controller.context.role
     role.is_retired = False
@@ -120,7 +121,7 @@
     plans = {plan.name: plan for plan in controller.settings.plans}
     for snapshot in snapshots:
         if snapshot.key.plan in plans:
-            account = accounts.create(snapshot.key, plans[snapshot.key.plan])
+            account = accounts.new_account(snapshot.key, plans[snapshot.key.plan])
             snapshot.restore(account, shift_ms)
             accounts.by_key[snapshot.key] = account
 
--- a/gateway/policy/state_transfer/snapshots.py
+++ b/gateway/policy/state_transfer/snapshots.py
@@ -19,10 +19,10 @@
 
 
 class _LimiterKey:
-    """The keys of the JSON object of the concurrency limiter."""
+    """The keys of the limiter's JSON object, by field of `LimiterSnapshot`."""
 
     PEAK = "peak"
-    CUT = "cut"
+    OVERLOAD_FACTOR = "cut"
     TARGET = "room"
     PEER_TARGET = "fleet_room"
 
@@ -106,7 +106,7 @@
 
 
 class LeaseTime(NamedTuple):
-    """A lease, and the expiry of its slot or the time of its grant."""
+    """A lease with one point in time: the expiry of its slot, or the time of its grant."""
 
     key: LeaseKey
     at_ms: float
@@ -192,7 +192,7 @@
     def restore(self, endpoint: EndpointRecord, shift_ms: float) -> None:
         """Copy the values into an endpoint's record, with `shift_ms` added to all times.
 
-        The count of attempts in flight stays as it is: the predecessor ends its own attempts.
+        The number of attempts in flight is not copied: the predecessor completes the attempts that it sent.
         """
         endpoint.latency_factor = self.latency_factor
         endpoint.outcomes = ClassCounts(self.outcomes)
@@ -205,10 +205,10 @@
 
 
 class LimiterSnapshot(NamedTuple):
-    """The estimates of the concurrency limiter."""
+    """The estimates of the concurrency limiter; their meaning is that of the limiter's attributes."""
 
     peak: float
-    cut: float
+    overload_factor: float
     target: float
     peer_target: float
 
@@ -222,7 +222,7 @@
         """Return the snapshot in a JSON object; raises KeyError, TypeError or ValueError if it is invalid."""
         return cls(
             peak=float(value[_LimiterKey.PEAK]),
-            cut=float(value[_LimiterKey.CUT]),
+            overload_factor=float(value[_LimiterKey.OVERLOAD_FACTOR]),
             target=float(value[_LimiterKey.TARGET]),
             peer_target=float(value[_LimiterKey.PEER_TARGET]),
         )
@@ -231,7 +231,7 @@
         """Return the snapshot as a JSON object."""
         return {
             _LimiterKey.PEAK: self.peak,
-            _LimiterKey.CUT: self.cut,
+            _LimiterKey.OVERLOAD_FACTOR: self.overload_factor,
             _LimiterKey.TARGET: self.target,
             _LimiterKey.PEER_TARGET: self.peer_target,
         }
@@ -239,7 +239,7 @@
     def restore(self, limiter: ConcurrencyLimiter) -> None:
         """Copy the values into a concurrency limiter."""
         limiter.peak = self.peak
-        limiter.overload_factor = self.cut
+        limiter.overload_factor = self.overload_factor
         limiter.target = self.target
         limiter.peer_target = self.peer_target
 
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -19,7 +19,7 @@
     CONTROL_PERIOD = auto()  # the feedback controllers and averages are due for their next update
     SUBSCRIBE = auto()  # the next subscription to endpoint updates is due
     GOSSIP_FLUSH = auto()  # entries that were held back to slow down gossip may be sent
-    LEADER_SERVE = auto()  # a bucket of the quota leader has enough units for the head of its queue
+    SERVE_LEASE_QUEUE = auto()  # a bucket of the quota leader has enough units for the head of its queue
     LEASE_REPLY_OVERDUE = auto()  # the quota leader has not replied to a lease request in time
     LEASE_EXPIRED = auto()  # the quota leader has dropped a queued lease request
     HEDGE = auto()  # an attempt is overdue, and its request may be hedged
