--- a/gateway/policy/__init__.py
+++ b/gateway/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of the gateway: pure functions of events and time, with the standard library only."""
+"""The decisions of the gateway, which depend on events and times alone and use only the standard library."""
--- a/gateway/policy/context.py
+++ b/gateway/policy/context.py
@@ -13,13 +13,13 @@
 from gateway.policy.timers import TimerQueue
 
 CONTROL_PERIOD_MS = 100.0  # interval at which the feedback controllers and the decaying averages are updated
-STALL_PERIODS = 4.0  # control periods without a turn, after which the process counts as stalled
+STALL_PERIODS = 4.0  # time between two turns, in control periods, beyond which the process was stalled
 INCARNATION_COUNT = 1 << 16  # number of distinct incarnations; datagrams encode an incarnation in 16 bits
 
 
 @dataclass(slots=True)
 class Turn:
-    """One call of `Controller.handle`: its time, and the actions that it is going to return."""
+    """The state of one call of `Controller.handle`: its time, and the actions that the call will return."""
 
     now_ms: float = 0.0
     started_at_ms: float | None = None  # time of the last `start`; None before the first turn
@@ -29,7 +29,7 @@
     def start(self, now_ms: float) -> None:
         """Start the next turn at `now_ms`, with an empty list of actions.
 
-        The previous turn's list of actions is left unchanged, since the caller may still hold it.
+        The list of the previous turn is not changed, since the caller may still use it.
         """
         previous_ms = self.started_at_ms
         self.follows_stall = (
@@ -51,7 +51,7 @@
 
 
 class PolicyContext:
-    """The objects that the components of one controller have in common."""
+    """The settings, random numbers, turn, timers and process role that one controller's components share."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         """Create the state before the first turn; `seed` determines all random numbers."""
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -1,4 +1,4 @@
-"""The controller of one gateway, which passes events to its components and returns their actions."""
+"""The controller of one gateway: it passes events to its components, and returns the actions they request."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gateway.policy.timers import REQUEST_TIMER_KINDS, Timer, TimerKind
 
 CLEANUP_INTERVAL_MS = 1000.0  # interval at which unused accounts, buckets and timers are dropped
-WAKE_UP_TIMER_NAME = "agenda"  # name in all SetTimer actions; fixed, as recorded simulated days contain it
+WAKE_UP_TIMER_NAME = "agenda"  # name in all SetTimer actions; recordings of simulated days contain it
 
 _RequestEvent = (
     events.ResponseStarted | events.BodyReleased | events.RequestCompleted | events.ClientDisconnected
@@ -31,20 +31,21 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         """Start without requests or endpoints; `seed` determines all random numbers."""
         self.settings = settings
-        self.errors: list[Exception] = []  # exceptions raised by the handling of the last turn's events
+        self.errors: list[Exception] = []  # exceptions raised while the last turn's events were handled
         self.context = PolicyContext(settings, seed)
         self.flow = RequestFlow(self.context, self._send_quota_entry)
         self.pacer = GossipPacer(self.context)
         self.selector = self.flow.attempts.selector
         self.directory = self.flow.attempts.selector.directory
-        self._withdrawn_endpoints: list[EndpointRecord] = []  # those that stopped being ready in this turn
+        # Endpoints that stopped being ready in this turn.
+        self._withdrawn_endpoints: list[EndpointRecord] = []
         self._cleanup_at_ms = 0.0
 
     def handle(self, now_ms: float, new_events: list[events.Event]) -> list[Action]:
         """Handle the events of one turn and return the actions to carry out.
 
-        An exception in the handling of one event does not affect the other events of the turn. The exception
-        is in `errors` until the next turn, and the caller has to log it.
+        If the handling of an event raises an exception, the other events of the turn are still handled. The
+        exception is in `errors` until the next turn, and the caller has to log it.
         """
         self._start_turn(now_ms)
         for event in new_events:
@@ -62,7 +63,7 @@
         return self.context.turn.actions
 
     def endpoint_counts(self, now_ms: float) -> tuple[int, int]:
-        """Return the number of listed endpoints, and of those among them that get few attempts or none."""
+        """Return the number of listed endpoints, and the number of these that get few attempts or none."""
         self.context.turn.now_ms = now_ms
         listed = self.directory.table.listed()
         return len(listed), sum(self.selector.avoids(endpoint) for endpoint in listed)
@@ -85,8 +86,9 @@
     def _on_event(self, event: events.Event) -> None:
         """Handle one event.
 
-        Events about requests that are not open have no effect. A TimerFired has no handler, since any turn
-        handles the timers that have expired in the timer queue.
+        An event about a request that is not open has no effect, unless it is AttemptEnded.
+        TimerFired has no handler of its own: every turn handles all timers in the timer queue that have
+        expired.
         """
         match event:
             case events.AttemptEnded():
@@ -135,16 +137,18 @@
     def _on_gossip(self, event: events.GossipReceived) -> None:
         """Handle a datagram.
 
-        A datagram has no effect where it is unreadable, or where its sender is not in the fleet or is this
-        process itself.
+        A datagram has no effect if it cannot be decoded, if its sender is not in the fleet, or if it comes
+        from this process itself.
         """
         message = decode(event.data)
         is_from_itself = event.sender == self.settings.gateway_number and not self.context.role.has_sibling
         if message is None or event.sender >= self.settings.gateways or is_from_itself:
             return
-        self.pacer.on_received(event.sender)
+        self.pacer.on_message_received(event.sender)
         self.flow.attempts.limiter.on_peer_target(message.target_concurrency)
-        if not self.context.turn.follows_stall:  # else the datagram, and what it reports, may be outdated
+        # During a stall of this process, datagrams wait in the socket, and their observations become
+        # outdated.
+        if not self.context.turn.follows_stall:
             self.selector.on_observations(message.observations)
         self.flow.lease_client.mark_responsive(event.sender)
         for entry in message.entries:
@@ -155,8 +159,8 @@
     def _send_quota_entry(self, gateway: int, entry: QuotaEntry, incarnation: int | None = None) -> None:
         """Send a quota entry to a gateway; an entry that is addressed to this process is handled at once.
 
-        `incarnation` is that of the process to which the entry is addressed. None stands for the process
-        that admits requests. Where the settings permit no gossip, entries for other processes are dropped.
+        `incarnation` identifies the process to which the entry is addressed; None stands for the process that
+        admits requests. If the settings permit no gossip, entries for other processes are dropped.
         """
         role = self.context.role
         may_be_for_this_process = gateway == self.settings.gateway_number and not role.is_retired
@@ -168,8 +172,8 @@
     def _on_quota_entry(self, sender: int, incarnation: int, entry: QuotaEntry) -> None:
         """Handle a quota entry from the process `incarnation` of the gateway `sender`.
 
-        An entry for the quota leader has no effect where the settings lack its class or its plan, or where
-        this process is retired.
+        An entry for the quota leader has no effect if the settings lack its class or its plan, or if this
+        process is retired.
         """
         if entry.kind in REPLY_KINDS:
             self.flow.lease_client.on_reply(sender, entry)
--- a/gateway/policy/decay.py
+++ b/gateway/policy/decay.py
@@ -1,14 +1,14 @@
-"""Exponential decay, which reduces the weight of older observations."""
+"""Exponential decay, which reduces the weight of observations with their age."""
 
 from __future__ import annotations
 
 import math
 
-NEVER_MS = -math.inf  # time of an event that has not happened yet; it is before all other times
+NEVER_MS = -math.inf  # time of an event that has not happened; it is earlier than any other time
 
 
 def decay(elapsed_ms: float, time_constant_ms: float) -> float:
-    """Return the fraction of a value that remains after `elapsed_ms`: 1/e after one time constant."""
+    """Return the fraction of a value that remains after `elapsed_ms`; after one time constant it is 1/e."""
     return math.exp(-elapsed_ms / time_constant_ms)
 
 
--- a/gateway/policy/dispatch/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -5,28 +5,34 @@
 from gateway.policy.context import CONTROL_PERIOD_MS, PolicyComponent, PolicyContext
 from gateway.policy.decay import CountWithMean, decay
 
-# The limits per endpoint are numbers of attempts per ready endpoint at full capacity, over all gateways.
-INITIAL_ATTEMPTS_PER_ENDPOINT = 12.0  # limit per endpoint before the first responses
-MIN_ATTEMPTS_PER_ENDPOINT = 4.0  # lower bound of the limit per endpoint
-MEAN_EXECUTION_FRACTION = 0.25  # fraction of the latency objective that attempts may take on average
+# Limit on the attempts of all gateways in flight per endpoint at full capacity, before the first responses.
+INITIAL_ATTEMPTS_PER_ENDPOINT = 12.0
+# Lower bound of the limit on the attempts of all gateways in flight per endpoint at full capacity.
+MIN_ATTEMPTS_PER_ENDPOINT = 4.0
+MEAN_EXECUTION_FRACTION = 0.25  # mean time that attempts may take, as a fraction of the latency objective
 MAX_PEAK_MULTIPLE = 2.0  # upper bound of the limit, as a multiple of the recent peak of attempts in flight
 OVERLOAD_THRESHOLD = 0.15  # fraction of attempts refused as overloaded above which the limit is reduced
-OVERLOAD_DECREASE_FACTOR = 0.75  # factor by which the limit is reduced in each control period with overload
-MIN_OVERLOAD_FACTOR = 0.3  # fraction of the limit that remains even if the overload lasts
-OVERLOAD_RECOVERY_FACTOR = 1.05  # factor by which a reduced limit grows in each period without overload
-COUNT_TIME_CONSTANT_MS = 1000.0  # time constant of the target, the peak and the mean in flight
-# With this many recently ended attempts, a gateway raises its target half of the way to its peers' mean.
+OVERLOAD_DECREASE_FACTOR = 0.75  # factor for the limit in each control period with overload
+MIN_OVERLOAD_FACTOR = 0.3  # minimum fraction to which lasting overload can reduce the limit
+OVERLOAD_RECOVERY_FACTOR = 1.05  # factor for a reduced limit in each control period without overload
+COUNT_TIME_CONSTANT_MS = 1000.0  # time constant of the decay of the target, the peak and the mean in flight
+# A gateway with few recently ended attempts raises its target towards the mean target of its peers. With this
+# number of ended attempts, the target is raised by half of the difference.
 PRIOR_RESPONSES = 5
-MIN_SLACK_ATTEMPTS = 1.5  # attempts by which the limit may be exceeded while the mean in flight is below it
-SLACK_DEVIATIONS = 2.0  # slack of one gateway of a large fleet, in standard deviations of its count in flight
+# Minimum number of attempts by which the count in flight may exceed the limit while its mean does not.
+MIN_SLACK_ATTEMPTS = 1.5
+# Number of attempts by which the count in flight may exceed the limit at one gateway of a large fleet, in
+# standard deviations of the count.
+SLACK_DEVIATIONS = 2.0
 PEER_TARGET_GAIN = 0.1  # weight of a newly received target in the moving average of the peers' targets
 
 
 class ConcurrencyLimiter(PolicyComponent):
     """The limit on the attempts in flight of this gateway, which is its share of the fleet's limit.
 
-    By Little's law, the mean number of attempts in flight is the rate of responses times the time that each
-    attempt takes. The time that it may take is a fraction of the latency objective.
+    By Little's law, the mean number of attempts in flight is the rate of responses times the mean time that
+    an attempt takes. The limit follows from the recent rate of responses and the time that attempts may take,
+    which is a fraction of the latency objective.
     """
 
     def __init__(self, context: PolicyContext) -> None:
@@ -60,7 +66,10 @@
         self.peer_target += (target - self.peer_target) * PEER_TARGET_GAIN
 
     def advance_period(self, capacity: float) -> None:
-        """End a control period and update the limit; `capacity` is the same as for `update_limit`."""
+        """Update all estimates and the limit at the end of a control period.
+
+        `capacity` is that of the ready endpoints, in endpoints at full capacity.
+        """
         remaining = decay(CONTROL_PERIOD_MS, COUNT_TIME_CONSTANT_MS)
         period_target = self._period_objectives_ms * MEAN_EXECUTION_FRACTION / CONTROL_PERIOD_MS
         self.target = self.target * remaining + period_target * (1 - remaining)
@@ -88,11 +97,12 @@
     def available_attempts(self) -> float:
         """Return how many more attempts may be started; the number may be fractional or negative.
 
-        While the mean in flight is within the limit, the count may exceed the limit by random variation. The
-        standard deviation of a count is its square root, which is small in relation to the limit of the fleet
-        and large in relation to a small share of it. The slack therefore grows with the number of gateways,
-        and a single gateway has the minimum. The mean in flight covers few attempts, and varies as well: it
-        may exceed the limit by half of the deviation.
+        While the mean number in flight is within the limit, the current number may exceed the limit by a
+        slack for random variation. The standard deviation of a count is its square root. In relation to the
+        limit of the whole fleet it is small; in relation to one gateway's small share of the limit it is
+        large. The slack therefore grows with the number of gateways, and a single gateway has the minimum.
+        The mean is taken over few attempts and varies too, so it may exceed the limit by half of the
+        deviation.
         """
         deviation = SLACK_DEVIATIONS * math.sqrt(self.limit) * (1 - 1 / math.sqrt(self._settings.gateways))
         is_within = self.in_flight.mean < self.limit + deviation / 2
@@ -100,7 +110,7 @@
         return self.limit + slack - self.in_flight.value
 
     def _update_overload_factor(self) -> None:
-        """Reduce the factor of the limit while the endpoints are overloaded, else let it recover up to 1."""
+        """Reduce the overload factor if the endpoints are overloaded, otherwise raise it to at most 1."""
         if self._overloaded > OVERLOAD_THRESHOLD * self._ended:
             self.overload_factor = max(MIN_OVERLOAD_FACTOR, self.overload_factor * OVERLOAD_DECREASE_FACTOR)
         else:
--- a/gateway/policy/dispatch/dispatcher.py
+++ b/gateway/policy/dispatch/dispatcher.py
@@ -8,15 +8,16 @@
 from gateway.policy.requests.attempts import AttemptManager
 from gateway.policy.requests.request_record import RequestPhase, RequestRecord
 
-MIN_WAIT_SAMPLES = 5  # dispatches per control period below which the ages of queued requests count as waits
-MAX_OVERAGE_UTILIZATION = 0.5  # fraction of the concurrency limit in use from which on overage has to wait
+MIN_WAIT_SAMPLES = 5  # dispatches in a control period below which the waits of queued requests count too
+MAX_OVERAGE_UTILIZATION = 0.5  # fraction of the concurrency limit in use at which overage has to wait
 
 
 class Dispatcher(PolicyComponent):
     """The queue of admitted requests, and the shares of the concurrency limit that each class gets.
 
-    Requests within their quota are dispatched first, then those of higher priority, then newer ones. Where
-    not all of them can be dispatched, the requests within the share of their class take precedence.
+    Requests within their quota are dispatched before overage, higher priorities before lower ones, and newer
+    requests before older ones. If the concurrency limit permits fewer attempts than there are queued
+    requests, the requests within the share of their class are dispatched before all others.
     """
 
     def __init__(self, context: PolicyContext, attempts: AttemptManager) -> None:
@@ -49,8 +50,8 @@
     def dispatch(self) -> None:
         """Start attempts for queued requests while the concurrency limit permits it.
 
-        Among requests of equal priority the newest is dispatched first. If the oldest were first, an overload
-        would delay all requests until close to their latency objectives, and many beyond.
+        Among requests of equal priority, the newest is dispatched first. If the oldest were dispatched first,
+        an overload would delay every request until shortly before or after its latency objective.
         """
         if not self.queue or self._limiter.available_attempts() < 1:
             return
@@ -71,7 +72,7 @@
                 yield self._turn.now_ms - request.arrived_at_ms
 
     def _sort_by_shares(self) -> None:
-        """Move the requests to the front that are within both the share of their class and their quota."""
+        """Move the requests that are within the share of their class and their quota to the front."""
         remaining = self._remaining_shares()
         within_share: list[RequestRecord] = []
         beyond_share: list[RequestRecord] = []
@@ -85,7 +86,7 @@
         self.queue = within_share + beyond_share
 
     def _remaining_shares(self) -> dict[str, float]:
-        """Return how many more attempts the share of each class permits, by class name."""
+        """Return how many more executing attempts the share of each class permits, by class name."""
         total = max(1.0, sum(controller.share for controller in self.shares.values()))
         remaining = {
             class_name: controller.share / total * self._limiter.limit
--- a/gateway/policy/dispatch/fuzzy_sets.py
+++ b/gateway/policy/dispatch/fuzzy_sets.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Sequence
 
-CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # values that belong to one triangular set with degree 1
-OUTPUT_STEPS_PER_SIDE = 20  # steps from 0 to 1, and to -1, in the numerical integration of the output sets
+CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # centres of the triangular sets, at which the degree is 1
+OUTPUT_STEPS_PER_SIDE = 20  # integration steps between 0 and 1, and between 0 and -1
 
 
 def memberships(value: float) -> list[float]:
     """Return the degree, from 0 to 1, to which a value belongs to each of the sets.
 
-    A value outside of [-1, 1] has the degrees of the nearer bound.
+    A value outside of [-1, 1] belongs to the sets to the same degrees as the nearer bound.
     """
     bounded = max(-1.0, min(1.0, value))
     return [max(0.0, 1 - abs(bounded - centre) / (CENTRES[1] - CENTRES[0])) for centre in CENTRES]
@@ -24,9 +24,9 @@
 
 
 def centre_of_gravity(strengths: Sequence[float]) -> float:
-    """Return the centre of gravity of all sets, each clipped at its strength (max-min inference).
+    """Return the centre of gravity of the union of all sets, each clipped at its strength.
 
-    At least one strength has to be greater than 0.
+    This is the defuzzification of max-min inference. Raises ZeroDivisionError if all strengths are 0.
     """
     moment = 0.0
     area = 0.0
--- a/gateway/policy/dispatch/fuzzy_share.py
+++ b/gateway/policy/dispatch/fuzzy_share.py
@@ -1,24 +1,25 @@
 """The fuzzy controller of a class's share of the concurrency limit.
 
-By the share, the controller steers the queueing delay of the class to its objective. It is a Mamdani
-controller of PI type for absolute delays, by Tables 6 and 7 of the paper of Loudini et al.
+The controller changes the share so that the queueing delay of the class approaches its objective. It is a
+Mamdani controller of PI type for absolute delays, according to Tables 6 and 7 of the paper of Loudini et al.
 """
 
 import functools
 
 from gateway.policy.dispatch.fuzzy_sets import CENTRES, centre_of_gravity, memberships
 
-ERROR_GAIN = 0.4  # controller input per second by which the mean wait is below its objective
-CHANGE_GAIN = 3.0  # controller input per second by which that error has changed in one control period
+ERROR_GAIN = 0.4  # controller input per second of the error, which is the objective minus the mean wait
+CHANGE_GAIN = 3.0  # controller input per second by which the error has changed since the previous period
 OUTPUT_GAIN = 0.01  # decrease of the share for a controller output of 1
 MIN_SHARE = 0.05  # lower bound of a share, so that no class starves
-INPUT_DIGITS = 2  # decimal digits to which inputs are rounded, so that few distinct inputs are cached
+INPUT_DIGITS = 2  # decimal places to which inputs are rounded, which limits the size of the cache
 
 
 class FuzzyShareController:
     """Controls the share of the concurrency limit that one class gets.
 
-    `objective_ms` is the objective for the mean wait in the queue, and `share` the initial share, up to 1.
+    `objective_ms` is the objective for the mean wait in the queue. `share` is the initial share, which is at
+    most 1.
     """
 
     def __init__(self, objective_ms: float, share: float) -> None:
@@ -36,7 +37,7 @@
         change_s = 0.0 if self._last_error_s is None else error_s - self._last_error_s
         self._last_error_s = error_s
         if error_s >= 0 and change_s >= 0:
-            return  # the output would not be negative, and the share would stay as it is
+            return  # the output would not be negative, and the share would not change
         output = self.infer(
             round(ERROR_GAIN * error_s, INPUT_DIGITS), round(CHANGE_GAIN * change_s, INPUT_DIGITS)
         )
@@ -62,7 +63,8 @@
 def _output_set_index(error_set: int, change_set: int) -> int:
     """Return the index of the output set in the rule table, for the indexes of both input sets.
 
-    Its distance from the middle set is the sum of the distances of both input sets, up to the outermost set.
+    The output set's signed distance from the middle set is the sum of the distances of both input sets,
+    bounded by the outermost sets.
     """
     last_set = len(CENTRES) - 1
     middle_set = len(CENTRES) // 2
--- a/gateway/policy/dispatch/latency.py
+++ b/gateway/policy/dispatch/latency.py
@@ -3,10 +3,13 @@
 from gateway.interface.settings import RequestClass
 
 MAX_RESPONSE_FRACTION = 0.45  # maximum fraction of a class's latency objective to reserve for the response
-MAX_INITIAL_LATENCY_MS = 200.0  # upper bound of a class's expected latency before its first response
-INITIAL_LATENCY_DIVISOR = 4  # a class's latency objective divided by this also bounds its initial latency
+MAX_INITIAL_LATENCY_MS = 200.0  # maximum of the latency expected of a class before its first response
+# Before its first response, the expected latency of a class is also at most its latency objective divided by
+# this.
+INITIAL_LATENCY_DIVISOR = 4
 LATENCY_GAIN = 0.05  # weight of a new sample in the moving average of a latency
-# Half of the responses take longer than expected, so a multiple of the expected latency is reserved.
+# Time to reserve for a response, as a multiple of its expected latency. About half of the responses take
+# longer than the expected latency.
 RESERVE_LATENCY_MULTIPLE = 2.5
 
 
@@ -30,8 +33,9 @@
     def response_reserve_ms(self, request_class: RequestClass) -> float:
         """Return the time to reserve for a response before the latency objective.
 
-        The time is bounded. Otherwise no request of a slow class would be dispatched, and no response could
-        lower the expected latency.
+        The time is at most MAX_RESPONSE_FRACTION of the objective. Without this bound, no request of a class
+        with a high expected latency would be dispatched, and no response could lower the expected latency
+        again.
         """
         expected_ms = RESERVE_LATENCY_MULTIPLE * self.expected_ms[request_class.name]
         return min(expected_ms, MAX_RESPONSE_FRACTION * request_class.latency_objective_ms)
--- a/gateway/policy/endpoints/directory.py
+++ b/gateway/policy/endpoints/directory.py
@@ -1,4 +1,4 @@
-"""The directory of ready endpoints, divided by slow start and by the preference of this gateway."""
+"""The directory of endpoints: lists of those that are warm, in slow start, or preferred by this gateway."""
 
 import math
 
@@ -11,10 +11,10 @@
 from gateway.policy.endpoints.slow_start import capacity_fraction
 from gateway.policy.timers import TimerKind
 
-GATEWAYS_PER_ENDPOINT = 6  # number of gateways that prefer each endpoint in a large fleet
-SLOW_START_SAFETY_FACTOR = 2.0  # factor by which slow start stays below the load that the settings permit
-SUBSCRIPTIONS_PER_POLL_INTERVAL = 4  # after failures, attempts to subscribe per `poll_within_ms`
-REFERENCE_CAPACITY_TIME_CONSTANT_MS = 30_000.0  # time constant with which the reference capacity decays
+GATEWAYS_PER_ENDPOINT = 6  # gateways that prefer the same endpoint, if the fleet has more gateways
+SLOW_START_SAFETY_FACTOR = 2.0  # factor by which slow start stays below the permitted load
+SUBSCRIPTIONS_PER_POLL_INTERVAL = 4  # subscriptions per `poll_within_ms` while updates fail
+REFERENCE_CAPACITY_TIME_CONSTANT_MS = 30_000.0  # time constant of the decay of the reference capacity
 
 
 class EndpointDirectory(PolicyComponent):
@@ -33,7 +33,7 @@
     def apply_update(self, update: EndpointUpdate) -> list[EndpointRecord]:
         """Apply an update of the endpoint list, and return the endpoints that are no longer ready.
 
-        The update must not have failed; for failed updates there is `on_update_failed`.
+        For an update that failed, the caller has to call `on_update_failed` instead.
         """
         ready_before = self.warm + self.starting
         self.table.apply_update(update)
@@ -46,7 +46,7 @@
         self._schedule(retry_at_ms, TimerKind.SUBSCRIBE)
 
     def advance_period(self) -> None:
-        """Update slow start and the reference capacity for one period, and drop removed endpoints."""
+        """Update slow start and the reference capacity for one control period, and drop removed endpoints."""
         decayed = self.reference_capacity * decay(CONTROL_PERIOD_MS, REFERENCE_CAPACITY_TIME_CONSTANT_MS)
         self.reference_capacity = max(self._min_reference_capacity, decayed)
         if self.starting:
@@ -56,7 +56,7 @@
     def preferred_subset(self, endpoints: list[EndpointRecord]) -> list[EndpointRecord]:
         """Return the endpoints that this gateway prefers, which are all of them in a small fleet.
 
-        If every gateway of a large fleet used all endpoints, each endpoint would hold connections of every
+        If every gateway of a large fleet used all endpoints, each endpoint would have connections to every
         gateway, and each connection would rarely be used.
         """
         gateways = self._settings.gateways
@@ -68,7 +68,7 @@
         )
 
     def _classify_ready_endpoints(self) -> None:
-        """Divide the ready endpoints into the lists, and update the capacity and the reference capacity."""
+        """Rebuild the lists of ready endpoints, and update the capacity and the reference capacity."""
         self.warm = []
         self.starting = []
         self.capacity = 0.0
@@ -84,12 +84,13 @@
         self.preferred = self.preferred_subset(self.warm)
 
     def _update_reference_capacity(self, ready_count: int) -> None:
-        """Raise the reference capacity to at least the current capacity and a bound by `ready_count`.
+        """Raise the reference capacity to the current capacity, or to a minimum if that is greater.
 
-        An endpoint in slow start gets the fraction of the load that its capacity has of the reference
-        capacity. A gateway that has just started has not observed the fleet at full capacity, and the current
-        capacity alone may result in too great a fraction. The settings permit an endpoint in slow start a
-        multiple of its capacity, which bounds its fraction of the load.
+        An endpoint in slow start gets its capacity divided by the reference capacity as its fraction of the
+        fleet's load. A gateway that has just started has not observed the fleet at full capacity. With the
+        current capacity as the divisor, the fraction might be too great. The settings permit an endpoint in
+        slow start a load of `overload_multiple` times its capacity. The minimum, which grows with the number
+        of ready endpoints, keeps its load below that by SLOW_START_SAFETY_FACTOR.
         """
         min_capacity = SLOW_START_SAFETY_FACTOR * ready_count / max(1.0, self._settings.overload_multiple)
         self._min_reference_capacity = max(self.capacity, min_capacity)
--- a/gateway/policy/endpoints/endpoint_record.py
+++ b/gateway/policy/endpoints/endpoint_record.py
@@ -9,7 +9,7 @@
 
 
 class ClassCounts(dict[str, float]):
-    """Decaying counts, by the name of the request class."""
+    """Exponentially decaying counts of attempts, by the name of their request class."""
 
     def decayed(self, fraction: float) -> ClassCounts:
         """Return a copy in which `fraction` of each count remains."""
--- a/gateway/policy/endpoints/endpoint_table.py
+++ b/gateway/policy/endpoints/endpoint_table.py
@@ -20,7 +20,8 @@
     def apply_update(self, update: EndpointUpdate) -> None:
         """Apply an update of the endpoint list.
 
-        An endpoint that has restarted gets a new record, without the estimates of its previous process.
+        In a snapshot, endpoints without an entry are removed. An endpoint that has restarted gets a new
+        record, without the estimates of its previous process.
         """
         listed_ids = {entry.id for entry in update.endpoints}
         for endpoint_id, endpoint in self.by_id.items():
--- a/gateway/policy/endpoints/hash_ring.py
+++ b/gateway/policy/endpoints/hash_ring.py
@@ -9,13 +9,15 @@
 from gateway.gossip.codec import endpoint_tag
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
-GOLDEN_SECTION = 0.618  # fraction of the ring between the arcs of gateways with consecutive numbers
+# Distance between the starts of the arcs of two gateways with consecutive numbers, as a fraction of the ring.
+# Multiples of the golden section are spread evenly over the ring.
+GOLDEN_SECTION = 0.618
 
 
 class _RingEntry(NamedTuple):
-    """An endpoint with the fields by which it is sorted on the ring."""
+    """An endpoint, and the position and zone that determine its place on the ring."""
 
-    position: float  # relative position among the endpoints of the same zone, from 0 to 1
+    position: float  # position among the endpoints of its zone, from 0 to 1
     zone: str
     endpoint: EndpointRecord
 
@@ -23,8 +25,8 @@
 def zone_interleaved_ring(endpoints: Sequence[EndpointRecord]) -> list[EndpointRecord]:
     """Return the endpoints in the order of the ring.
 
-    The endpoints of each zone are in the order of the hashes of their ids, and the zones are interleaved
-    evenly.
+    The endpoints of one zone are in the order of the hashes of their ids. The zones are interleaved evenly,
+    so that an arc contains the zones approximately in proportion to their sizes.
     """
     zones: dict[str, list[EndpointRecord]] = {}
     for endpoint in sorted(endpoints, key=_hash_sort_key):
@@ -43,10 +45,10 @@
 ) -> list[EndpointRecord]:
     """Return the arc of `length` endpoints of the ring that the gateway with number `gateway` prefers.
 
-    `gateways` is the number of gateways in the fleet. The arcs start at even distances, so that all endpoints
-    are in the same number of arcs, give or take one. When an endpoint is added or removed, each arc changes
-    by few endpoints. Gateways with consecutive numbers often serve the same customers, so their arcs are
-    distant from each other.
+    `gateways` is the number of gateways in the fleet. The starts of the arcs are evenly spaced, so that each
+    endpoint is in the same number of arcs, give or take one. If an endpoint is added or removed, each arc
+    changes by few endpoints. Gateways with consecutive numbers often serve the same customers, so their arcs
+    are far apart.
     """
     size = len(ring)
     start = gateway * _arc_step(gateways) % gateways * size // gateways
@@ -54,7 +56,7 @@
 
 
 def _arc_step(gateways: int) -> int:
-    """Return how many arcs later the arc of the next gateway starts.
+    """Return the distance between the arcs of consecutive gateways, in steps from one arc to the next.
 
     The result is coprime to the number of gateways, so that no two gateways have the same arc.
     """
--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -15,17 +15,17 @@
 from gateway.policy.decay import decay
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 
-EJECTION_FAILURE_RATE = 0.5  # failure rate of a class from which on an endpoint is ejected for that class
+EJECTION_FAILURE_RATE = 0.5  # failure rate of a class at which an endpoint is ejected for that class
 OWN_OUTCOME_WEIGHT = 1.0  # weight of the result of an attempt of this gateway
-OVERDUE_OUTCOME_WEIGHT = 0.6  # weight of the failure that is counted while an attempt is overdue
-MAX_PEER_OUTCOME_WEIGHT = 0.5  # upper bound of the weight of another gateway's observation
+OVERDUE_OUTCOME_WEIGHT = 0.6  # weight of the failure that is recorded when an attempt becomes overdue
+MAX_PEER_OUTCOME_WEIGHT = 0.5  # upper bound of the weight of an outcome that another gateway observed
 MAX_SENT_OBSERVATION_AGE_MS = 2000.0  # age beyond which an observation is not sent to other gateways
 OVERDUE_LATENCY_RATIO = 3.0  # multiple of the expected latency after which an attempt is overdue
 LATENCY_FACTOR_GAIN = 0.15  # weight of a new sample in the moving average of an endpoint's latency factor
 MAX_LATENCY_RATIO = 10.0  # multiple of the expected latency to which a single latency sample is limited
-LATENCY_TIME_CONSTANT_MS = 15_000.0  # time constant with which a latency factor decays to 1
-OUTCOME_TIME_CONSTANT_MS = 4000.0  # time constant with which the counts of outcomes and failures decay
-PRIOR_OUTCOMES = 2  # successful outcomes that the failure rate over all classes assumes before any outcome
+LATENCY_TIME_CONSTANT_MS = 15_000.0  # time constant of the decay of a latency factor towards 1
+OUTCOME_TIME_CONSTANT_MS = 4000.0  # time constant of the decay of the counts of outcomes and failures
+PRIOR_OUTCOMES = 2  # successful outcomes added to the counted ones in the failure rate over all classes
 
 
 class _OwnObservation(NamedTuple):
@@ -36,7 +36,7 @@
 
 
 class OutlierDetector(PolicyComponent):
-    """Estimates the latency and the failure rates of endpoints, by the counts in the endpoints' records."""
+    """Estimates the latency and the failure rates of endpoints, and stores the estimates in their records."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
@@ -44,7 +44,7 @@
         self._own_observations: list[_OwnObservation] = []  # the latest MAX_OBSERVATIONS, the oldest first
 
     def latency_factor(self, endpoint: EndpointRecord) -> float:
-        """Return an endpoint's latency relative to the mean of the fleet; without samples it decays to 1."""
+        """Return an endpoint's latency as a multiple of the fleet's mean; without samples it decays to 1."""
         age_ms = self._turn.now_ms - endpoint.observed_at_ms
         return 1 + (endpoint.latency_factor - 1) * math.exp(-age_ms / LATENCY_TIME_CONSTANT_MS)
 
@@ -65,7 +65,8 @@
     def is_ejected(self, endpoint: EndpointRecord, class_name: str) -> bool:
         """Return whether an endpoint's failure rate for a class reaches EJECTION_FAILURE_RATE.
 
-        Other endpoints are preferred then; the endpoint is still used where too few of them remain.
+        Other endpoints are then preferred for the class. The ejected endpoint is still used if too few other
+        endpoints remain.
         """
         return self.failure_rate(endpoint, class_name) >= EJECTION_FAILURE_RATE
 
@@ -75,8 +76,8 @@
         """Update the estimates of an endpoint by the outcome of one attempt.
 
         `latency_ratio` is the latency as a multiple of the expected latency, or inf for a failure. A
-        rejection by an overloaded endpoint is a failure as well. Otherwise the endpoint would appear to be
-        fast and idle, and would attract all requests.
+        rejection by an overloaded endpoint has to be recorded as a failure too. Otherwise the endpoint would
+        appear to be fast and idle, and would attract all requests.
         """
         now_ms = self._turn.now_ms
         endpoint.latency_factor = self._updated_latency_factor(endpoint, latency_ratio, weight)
@@ -114,6 +115,6 @@
         if latency_ratio == math.inf:
             endpoint.failures.add(class_name, weight)
         elif latency_ratio > OVERDUE_LATENCY_RATIO:
-            # The attempt was counted as a failure when it became overdue, which its response disproves.
+            # A failure was recorded when the attempt became overdue. The response shows that there was none.
             failures = endpoint.failures.get(class_name, 0.0)
             endpoint.failures[class_name] = max(0.0, failures - weight)
--- a/gateway/policy/endpoints/selection.py
+++ b/gateway/policy/endpoints/selection.py
@@ -19,16 +19,18 @@
 from gateway.policy.endpoints.slow_start import SlowStartLottery
 from gateway.policy.requests.request_record import RequestRecord
 
-FAILURE_COST_FACTOR = 200.0  # relative increase of an endpoint's cost per square of its failure rate
-NON_IDEMPOTENT_COST_FACTOR = 2  # multiple of FAILURE_COST_FACTOR for requests that cannot be retried
+FAILURE_COST_FACTOR = 200.0  # relative cost increase at failure rate 1; it grows with the rate's square
+NON_IDEMPOTENT_COST_FACTOR = 2  # multiple of FAILURE_COST_FACTOR for classes that permit no retries
 OTHER_ZONE_COST_FACTOR = 1.15  # multiple of the cost of an endpoint in another zone than this gateway's
-MAX_COST_JITTER = 1.1  # upper bound of a random cost factor, without which all gateways would choose alike
+MAX_COST_JITTER = 1.1  # upper bound of the random cost factor that prevents equal choices of all gateways
 MIN_ENDPOINT_WEIGHT = 0.01  # lower bound of the weight by which an endpoint's cost is divided
 MIN_CANDIDATES = 2.0  # minimum number of endpoints whose costs are compared for an attempt
-CANDIDATES_PER_SEND = 4.0  # further endpoints compared per recent attempt sent to each endpoint on average
+CANDIDATES_PER_SEND = 4.0  # candidates added for each recent attempt per warm endpoint
 FULL_UTILIZATION_ATTEMPTS = 2.0  # attempts in flight for which a reported utilization of 1 stands
-LOAD_REPORT_TIME_CONSTANT_MS = 1000.0  # time constant with which load reports and `recent_sends` decay
-MAX_REPORT_AGE_TIME_CONSTANTS = 50.0  # limit of a load report's age, in LOAD_REPORT_TIME_CONSTANT_MS
+LOAD_REPORT_TIME_CONSTANT_MS = 1000.0  # time constant of the decay of load reports and `recent_sends`
+# Upper bound of the age of a load report in the cost, in multiples of LOAD_REPORT_TIME_CONSTANT_MS. An older
+# report, and a missing one, counts with this age.
+MAX_REPORT_AGE_TIME_CONSTANTS = 50.0
 
 EligibleEndpoints = list[EndpointRecord] | None  # endpoints that an idempotency key permits; None permits all
 
@@ -44,7 +46,7 @@
         self.recent_sends = 0.0  # decaying count of the attempts that this gateway has sent
 
     def advance_period(self) -> None:
-        """Update the directory, the slow-start lottery and the count of recent sends for one period."""
+        """Update the directory, the lottery and the count of recent sends for one control period."""
         self.directory.advance_period()
         self._lottery.decay_counts()
         self.recent_sends *= decay(CONTROL_PERIOD_MS, LOAD_REPORT_TIME_CONSTANT_MS)
@@ -66,8 +68,8 @@
     def on_observations(self, observations: Sequence[EndpointObservation]) -> None:
         """Update the estimates of endpoints by the observations of another gateway.
 
-        The weight of these observations decreases with the number of attempts that this gateway sends itself.
-        Otherwise all gateways would leave the same endpoint at once and overload the other endpoints.
+        The more attempts this gateway sends, the smaller is the weight of these observations. Otherwise all
+        gateways would stop using the same endpoint at once and overload the other endpoints.
         """
         weight = MAX_PEER_OUTCOME_WEIGHT / (1 + self._weighted_sends_per_endpoint(len(self.directory.warm)))
         class_names = self.outliers.class_names
@@ -84,10 +86,10 @@
         return any(self.outliers.is_ejected(endpoint, class_name) for class_name in self.outliers.class_names)
 
     def choose_endpoint(self, request: RequestRecord, eligible: EligibleEndpoints) -> EndpointRecord | None:
-        """Return an endpoint for one more attempt, or None where no endpoint is eligible.
+        """Return an endpoint for one more attempt, or None if no endpoint is eligible.
 
-        This is the endpoint in slow start that the lottery draws, or else the warm endpoint with the least
-        cost among the candidates.
+        If the lottery draws an endpoint in slow start that may be used, the result is that endpoint.
+        Otherwise it is the candidate with the lowest cost among the warm endpoints.
         """
         warm = self._warm_candidates(request, eligible)
         directory = self.directory
@@ -103,8 +105,9 @@
     def _warm_candidates(self, request: RequestRecord, eligible: EligibleEndpoints) -> list[EndpointRecord]:
         """Return the warm endpoints that may be compared for an attempt.
 
-        These are the preferred endpoints that are not ejected, or all warm endpoints where at least half of
-        the preferred ones are ejected. An idempotency key may restrict them to the eligible ones instead.
+        These are the preferred endpoints that are not ejected, or all warm endpoints if at least half of the
+        preferred ones are ejected. If an idempotency key restricts the eligible endpoints, these are all warm
+        endpoints among them.
         """
         warm = self.directory.warm
         preferred = self.directory.preferred
@@ -124,10 +127,12 @@
         return not self.outliers.is_ejected(endpoint, request.request_class.name)
 
     def _sample_candidates(self, warm: list[EndpointRecord], request: RequestRecord) -> list[EndpointRecord]:
-        """Return the endpoints to compare: those that the request has not tried, or a random sample of them.
+        """Return the endpoints to compare: a random sample of those at which the request has had no attempt.
 
-        A gateway that seldom sends attempts takes a small sample. Its load reports are old, and if all
-        gateways with old reports compared all endpoints, they would overload the apparently best endpoint.
+        If the request has had an attempt at every warm endpoint, the sample is taken from all of them. The
+        fewer attempts the gateway sends, the smaller is the sample. With few attempts, load reports are old.
+        If all gateways with old reports compared all endpoints, they would overload the same apparently best
+        endpoint.
         """
         count = math.ceil(MIN_CANDIDATES + self._weighted_sends_per_endpoint(len(warm)))
         untried = [endpoint for endpoint in warm if endpoint not in request.tried_endpoints] or warm
@@ -136,10 +141,10 @@
     def _lowest_cost_endpoint(
         self, candidates: list[EndpointRecord], request_class: RequestClass
     ) -> EndpointRecord | None:
-        """Return the candidate with the least cost, or None where there is no candidate.
+        """Return the candidate with the lowest cost, or None if there is no candidate.
 
-        The cost is the load of an endpoint times its latency. The failure rate, another zone and random
-        jitter increase it.
+        The cost is the load of an endpoint times its latency factor, divided by its weight. It increases with
+        the failure rate, for an endpoint in another zone, and by random jitter.
         """
         best = None
         best_cost = math.inf
--- a/gateway/policy/endpoints/slow_start.py
+++ b/gateway/policy/endpoints/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: an endpoint that has just started gets a fraction of its full load, which grows with its age.
 
-An endpoint in slow start fails permanently if all gateways together overload it. The attempts for such an
-endpoint are therefore drawn at random, so that without coordination of the gateways its fraction of all
-requests equals its fraction of the fleet's capacity.
+An endpoint in slow start fails permanently if the gateways together overload it. Each gateway therefore
+decides at random which attempts go to an endpoint in slow start. The probability is the endpoint's fraction
+of the fleet's capacity, so the endpoint gets the same fraction of all requests without coordination of the
+gateways.
 """
 
 from gateway.interface.events import Endpoint
@@ -12,12 +13,12 @@
 from gateway.policy.endpoints.endpoint_record import EndpointRecord
 from gateway.policy.requests.request_record import RequestRecord
 
-REDRAW_INTERVAL_MS = 1000.0  # time after which a request takes part in a draw again
-DRAW_COUNT_TIME_CONSTANT_MS = 1000.0  # time constant with which the counts of requests and draws decay
+REDRAW_INTERVAL_MS = 1000.0  # minimum time between two draws in which the same request takes part
+DRAW_COUNT_TIME_CONSTANT_MS = 1000.0  # time constant of the decay of the counts of requests and draws
 
 
 def capacity_fraction(settings: Settings, now_ms: float, endpoint: Endpoint) -> float:
-    """Return the fraction of its full capacity that an endpoint has reached; 1 after slow start."""
+    """Return the fraction of its full capacity that an endpoint has reached, which is 1 after slow start."""
     age_ms = now_ms - endpoint.started_at_ms
     if not endpoint.started_at_ms or age_ms >= settings.slow_start_ms:
         return 1.0
@@ -42,11 +43,12 @@
     def draw_endpoint(
         self, request: RequestRecord, starting: list[EndpointRecord], fleet_capacity: float
     ) -> EndpointRecord | None:
-        """Return the endpoint in slow start to which an attempt goes, or None, which is the usual result.
+        """Return the endpoint in slow start to which an attempt goes, or None if no endpoint is drawn.
 
-        `fleet_capacity` is the capacity over which the load is divided, in endpoints at full capacity. An
-        endpoint's fraction of it is a fraction of the requests. Where requests take part in several draws,
-        the probability of each draw is smaller accordingly.
+        `starting` are the endpoints in slow start, and `fleet_capacity` is the capacity of the fleet, in
+        endpoints at full capacity. An endpoint gets the fraction of all requests that its capacity is of the
+        capacity of the fleet. A request may take part in several draws. The probability in one draw is
+        therefore divided by the mean number of draws per request.
         """
         if not starting or self._turn.now_ms < request.slow_start_retry_at_ms:
             return None
--- a/gateway/policy/gossip/__init__.py
+++ b/gateway/policy/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip: the outbox of quota entries for other gateways, and the pacing of messages."""
+"""Gossip: the outbox of quota entries for other gateways, and the limit on the rate of messages."""
--- a/gateway/policy/gossip/outbox.py
+++ b/gateway/policy/gossip/outbox.py
@@ -15,7 +15,7 @@
 
 
 class EntryOutbox(dict[int, list[QuotaEntry]]):
-    """Queues of entries by gateway number. A gateway without entries has no key."""
+    """Queues of entries by the number of the receiving gateway; a gateway without entries has no key."""
 
     def add(self, gateway: int, entry: QuotaEntry) -> None:
         """Append an entry to the queue of a gateway."""
--- a/gateway/policy/gossip/pace.py
+++ b/gateway/policy/gossip/pace.py
@@ -1,8 +1,9 @@
 """The pacing of gossip: a limit on the rate of messages, so that no gateway's inbox overflows.
 
-Messages beyond the rate of a gateway's inbox are lost. A gateway does not know the rates at which its peers
-receive messages, and takes the rate at its own inbox as an estimate. When its own inbox is more than half
-full, it leaves more time between two messages to the same gateway, so that each message carries more entries.
+A gateway receives a limited number of messages per second, and messages beyond that rate are lost. A gateway
+does not know the rates at which its peers receive messages, and uses the rate at its own inbox as an
+estimate. When that rate is more than half of the permitted rate, the gateway leaves more time between two
+messages to the same peer, so that each message carries more entries.
 """
 
 import math
@@ -12,16 +13,17 @@
 from gateway.policy.gossip.outbox import EntryOutbox, OutgoingMessage
 from gateway.policy.timers import TimerKind
 
-# Fraction of the rate of a gateway's inbox that the messages of all other gateways together may use.
+# Fraction of the rate at which a gateway can receive messages that all other gateways together may use.
 INBOX_FRACTION = 0.75
 
-# Time, in milliseconds, after its last message for which a peer counts as active. The rate of an inbox is
-# divided among the active peers. The count of received messages decays with the same time constant.
+# Time, in milliseconds, for which a peer counts as active after its last message. The permitted rate of an
+# inbox is divided among the active peers. This is also the time constant with which the count of received
+# messages decays.
 ACTIVE_PEER_MS = 1000.0
 
 
 class GossipPacer(PolicyComponent):
-    """Decides when the entries in the outbox are sent, and takes them out as messages."""
+    """Holds the outbox, and decides when its entries may be sent to each gateway."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
@@ -31,7 +33,7 @@
         self._received_count = 0.0  # exponentially decaying count of received messages
         self._flush_at_ms = 0.0  # time of the last scheduled GOSSIP_FLUSH timer
 
-    def on_received(self, sender: int) -> None:
+    def on_message_received(self, sender: int) -> None:
         """Record the sender and the time of a received message."""
         self.received_at_ms[sender] = self._turn.now_ms
         self._received_count += 1
@@ -61,8 +63,9 @@
     def _min_interval_ms(self) -> float:
         """Return the minimum time between two messages to one gateway.
 
-        It is 0 up to half of the permitted rate at this gateway's inbox, and grows linearly up to the full
-        rate. There, all active peers together send no more than the permitted rate to any one gateway.
+        It is 0 while this gateway receives up to half of the permitted rate, and grows linearly from there to
+        the full rate. With the interval at the full rate, all active peers together send each gateway no more
+        than the permitted rate.
         """
         self._drop_inactive_peers()
         inbox_per_s = INBOX_FRACTION * self._settings.gossip_inbox_per_s or math.inf
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timer queue of a controller: a heap of all timers, and the only wake-up requested from the caller."""
+"""The timer queue of a controller: a heap of all timers, and the single wake-up that the caller provides."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 from enum import IntEnum, auto
 from typing import NamedTuple
 
-CLOCK_RESOLUTION_MS = 0.001  # a timer also expires in a turn that starts up to this long before its time
-# The queue is compacted when it holds this many timers in addition to one of each kind per open request.
+CLOCK_RESOLUTION_MS = 0.001  # time by which a turn may start before a timer's expiry and still handle it
+# Number of timers that the queue may hold in addition to one of each request timer kind per open request. If
+# it holds more, the timers of ended requests are dropped.
 MAX_STALE_TIMERS = 256
 
 
@@ -18,8 +19,8 @@
 
     CONTROL_PERIOD = auto()  # the feedback controllers and averages are due for their next update
     SUBSCRIBE = auto()  # the next subscription to endpoint updates is due
-    GOSSIP_FLUSH = auto()  # entries that were held back to slow down gossip may be sent
-    SERVE_LEASE_QUEUE = auto()  # a bucket of the quota leader has enough units for the head of its queue
+    GOSSIP_FLUSH = auto()  # quota entries that were held back to limit the rate of datagrams may be sent
+    SERVE_LEASE_QUEUE = auto()  # a bucket of the quota leader can grant the first lease request in its queue
     LEASE_REPLY_OVERDUE = auto()  # the quota leader has not replied to a lease request in time
     LEASE_EXPIRED = auto()  # the quota leader has dropped a queued lease request
     HEDGE = auto()  # an attempt is overdue, and its request may be hedged
@@ -38,7 +39,7 @@
 
 
 class Timer(NamedTuple):
-    """A timer: its kind, and its subject, which is a request id, the name of a bucket, or NO_SUBJECT."""
+    """A timer: its kind, and its subject, which is a request id, a leader bucket's id, or NO_SUBJECT."""
 
     kind: TimerKind
     subject: int = NO_SUBJECT
@@ -49,12 +50,12 @@
 
 
 class TimerQueue:
-    """Timers by expiry time; timers with equal times expire in the order in which they were scheduled."""
+    """The timers in the order of their expiry; those with equal times expire in the order of scheduling."""
 
     def __init__(self) -> None:
         self._heap: list[_HeapEntry] = []
         self._scheduled_count = 0  # timers scheduled so far, which is the last sequence number
-        self._wake_up_at_ms = math.inf  # time of the requested wake-up; inf where none is outstanding
+        self._wake_up_at_ms = math.inf  # time of the requested wake-up; inf if none is outstanding
 
     def __len__(self) -> int:
         """Return the number of timers in the queue, including those of ended requests."""
@@ -62,7 +63,10 @@
 
     @property
     def first_at_ms(self) -> float:
-        """Expiry time of the first timer, whose request may have ended; the queue must not be empty."""
+        """Expiry time of the first timer, whose request may have ended already.
+
+        Raises IndexError if the queue is empty.
+        """
         return self._heap[0][0]
 
     def schedule(self, at_ms: float, kind: TimerKind, subject: int = NO_SUBJECT) -> None:
@@ -81,16 +85,17 @@
         return Timer(kind, subject)
 
     def clear_due_wake_up(self, now_ms: float) -> None:
-        """Forget the requested wake-up if its time has come, so that another can be requested."""
+        """Forget the requested wake-up if its time has come, so that a later one can be requested."""
         if now_ms >= self._wake_up_at_ms - CLOCK_RESOLUTION_MS:
             self._wake_up_at_ms = math.inf
 
     def request_wake_up(self, now_ms: float, open_requests: Container[int]) -> float | None:
-        """Return the time until a wake-up that the caller has to request, or None where none is needed.
+        """Return the time in milliseconds until the wake-up that the caller has to set, or None.
 
-        No wake-up is needed where a requested one is at least as early as the first timer. Timers of ended
-        requests are dropped, and later timers get their wake-up in a later turn. A wake-up costs a turn and
-        cannot be withdrawn, and most timers belong to requests that end before the timer expires.
+        None means that the wake-up requested last comes no later than the first timer. The wake-up is only
+        for the first timer of an open request; later timers get theirs in a later turn. Each wake-up costs a
+        turn and cannot be withdrawn, and most timers belong to requests that end before the timer expires.
+        Timers of ended requests at the head of the queue are therefore dropped first.
         """
         self._drop_stale_head(open_requests)
         first_at_ms = self._heap[0][0]
@@ -100,7 +105,7 @@
         return max(0.0, first_at_ms - now_ms)
 
     def compact(self, open_requests: Mapping[int, object]) -> None:
-        """Drop the timers of ended requests if the queue exceeds the size that MAX_STALE_TIMERS permits."""
+        """Drop the timers of ended requests if the queue is larger than MAX_STALE_TIMERS permits."""
         if len(self._heap) <= MAX_STALE_TIMERS + len(REQUEST_TIMER_KINDS) * len(open_requests):
             return
         self._heap = [entry for entry in self._heap if not _is_stale(entry, open_requests)]
