--- a/gateway/config.py
+++ b/gateway/config.py
@@ -42,17 +42,18 @@
     """The configuration of one process."""
 
     name: str  # name of this gateway
-    listen: Address  # for clients
-    discovery: Address  # of the discovery service
+    listen: Address  # address for the connections of clients
+    discovery: Address  # address of the discovery service
     seed: int  # seed of all random numbers
     max_descriptors: int  # limit on the descriptors that the process may open
-    settings: Settings  # of the decision package
-    connect_timeout_ms: float  # for connections to endpoints
+    settings: Settings  # settings of the decision package
+    connect_timeout_ms: float  # time limit for the connection to an endpoint
     endpoint_idle_timeout_ms: float  # time after which an endpoint closes an idle connection
     initial_endpoints: EndpointList  # used until discovery sends its first list
-    peer_listen: Address | None  # for datagrams of other gateways
+    peer_listen: Address | None  # address for datagrams of other gateways; None: no gossip
     peers: tuple[Address, ...]  # addresses of all gateways of the fleet, by gateway number
-    peer_broadcast: Address | None  # a datagram to this address reaches all other gateways
+    # Address at which a datagram reaches all other gateways of the fleet; None if there is no such address.
+    peer_broadcast: Address | None
     admin_listen: Address | None = None  # address of the admin endpoint; None: there is no admin endpoint
     socket_folder: str = ""  # folder of the socket file for hot restarts; empty: no hot restarts
 
@@ -63,7 +64,10 @@
 
 
 def address_from(text: object, path: str) -> Address:
-    """Return the host and the port of 'host:port'; raises SettingsError, with the path, if it is invalid."""
+    """Return the host and the port of 'host:port'.
+
+    Raises SettingsError if the text is invalid; `path` is the path of the value in its document.
+    """
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(path, f"expected 'host:port' with a port from 1 to 65535, received {text!r}")
@@ -71,7 +75,7 @@
 
 
 def endpoint_entry_from(row: JsonObject) -> EndpointEntry:
-    """Return one entry of a list in discovery's format; raises SettingsError if it is malformed."""
+    """Return one entry of an endpoint list in discovery's format; raise SettingsError if it is malformed."""
     status = row.text("status")
     if status not in _STATES:
         raise SettingsError(
@@ -91,10 +95,11 @@
 def endpoint_list_from(
     value: object, path: str, on_invalid_entry: Callable[[SettingsError], None] | None = None
 ) -> EndpointList:
-    """Return a list in discovery's format; raises SettingsError, with the path, if it is malformed.
+    """Return the endpoint list in a parsed JSON value in discovery's format.
 
-    With `on_invalid_entry`, the error of a malformed entry is passed to that function, and the entry is left
-    out. In a snapshot, this ends the use of the endpoint.
+    Raises SettingsError, whose text starts with `path`, if the value is malformed. With `on_invalid_entry`,
+    the error of a malformed entry is passed to that function instead, and the entry is omitted. An endpoint
+    that is omitted from a snapshot is no longer used.
     """
     top = JsonObject(value, path)
     entries = []
--- a/gateway/errors.py
+++ b/gateway/errors.py
@@ -1,4 +1,4 @@
-"""The base class of the gateway's exceptions, and the exceptions that several packages use."""
+"""The base class of the gateway's exceptions, and those exceptions that several packages use."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SettingsError(GatewayError, ValueError):
-    """An invalid setting; the message names the setting and the problem."""
+    """A missing or invalid setting; the message contains the setting's path and the problem."""
 
     def __init__(self, path: str, problem: str) -> None:
         """`path` locates the setting, for example `config.settings.classes[0].aimMs`."""
@@ -17,7 +17,7 @@
 
 
 class ConfigError(GatewayError):
-    """A configuration that is missing, unreadable or invalid; the message names the problem."""
+    """A configuration that is missing, unreadable or invalid; the message states the problem."""
 
 
 class BadRequestError(GatewayError, ValueError):
@@ -30,4 +30,4 @@
 
 
 class HandoverError(GatewayError):
-    """A failed restoration of the predecessor's state; the message names the cause."""
+    """A failure to restore the predecessor's state; the message states the cause."""
--- a/gateway/gossip/__init__.py
+++ b/gateway/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip: the format of the datagrams between gateways."""
+"""Gossip: the encoding of the datagrams between gateways."""
--- a/gateway/gossip/codec.py
+++ b/gateway/gossip/codec.py
@@ -1,8 +1,8 @@
 """The codec of the datagrams between gateways, which carry quota entries and observations of endpoints.
 
-A datagram has at most 256 bytes: a header, the entries that the header counts, and observations up to the
-end. All fields are little-endian. Gateways of different versions of this program exchange datagrams, so the
-layout must not change.
+A datagram has at most 256 bytes. It consists of a header with the number of entries, the entries, and
+observations up to its end. All fields are little-endian. Gateways that run different versions of this program
+exchange datagrams, so the layout must not change.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 MAX_DATAGRAM_BYTES = 256  # maximum size of a datagram, in bytes
 MAX_OBSERVATIONS = 4  # maximum number of observations in a datagram
-MAX_ENTRIES = (  # maximum number of quota entries beside MAX_OBSERVATIONS observations
+MAX_ENTRIES = (  # maximum number of quota entries; MAX_OBSERVATIONS observations always fit beside them
     MAX_DATAGRAM_BYTES - _HEADER_LAYOUT.size - MAX_OBSERVATIONS * _OBSERVATION_LAYOUT.size
 ) // _ENTRY_LAYOUT.size
 
@@ -48,19 +48,19 @@
 _NIBBLE_MASK = (1 << _NIBBLE_BITS) - 1
 INDEX_LIMIT = 1 << _NIBBLE_BITS  # class and plan indexes in a datagram are below this limit
 
-_CONCURRENCY_SCALE = 64  # fixed-point steps per attempt of the target concurrency
-_UNITS_SCALE = 16  # fixed-point steps per unit, and per unit per second
+_CONCURRENCY_SCALE = 64  # fixed-point value that stands for a target concurrency of one attempt
+_UNITS_SCALE = 16  # fixed-point value that stands for one unit, or for a demand of one unit per second
 
 # A grade is the latency of an attempt on a logarithmic scale, relative to the expected latency of its class.
 _FAILED_GRADE = 15  # grade of a failed attempt, whatever its latency
 _EXPECTED_GRADE = 4  # grade of the expected latency
-_GRADES_PER_DOUBLING = 2  # difference between the grades of a latency and of its double
+_GRADES_PER_DOUBLING = 2  # number by which the grade increases when the latency doubles
 _MIN_LATENCY_RATIO = 0.25  # multiple of the expected latency at grade 0; shorter latencies get this grade
 _MAX_LATENCY_RATIO = 32.0  # multiple of the expected latency at grade 14; longer latencies get this grade
 
 
 class EntryKind(IntEnum):
-    """The kind of a quota entry; the values are those in datagrams."""
+    """The kind of a quota entry; datagrams contain these values."""
 
     REQUEST = 1  # to the leader: a lease request
     GRANT = 2  # from the leader: the lease is granted
@@ -68,11 +68,11 @@
     USED = 4  # to the leader: a request was admitted without a grant and uses the units
     RETURN = 5  # to the leader: the units are unused, or the request is no longer in flight
     RETRY_REQUEST = 6  # to the leader: a lease request for a request that is a client's retry
-    DENY = 7  # from the leader: the lease cannot be granted before the lease request expires
+    DENY = 7  # from the leader: no lease can be granted before the lease request expires
 
 
 REPLY_KINDS = (EntryKind.GRANT, EntryKind.QUEUED, EntryKind.DENY)  # kinds of the entries that a leader sends
-_KINDS = frozenset(int(kind) for kind in EntryKind)
+_KIND_VALUES = frozenset(int(kind) for kind in EntryKind)
 
 
 class QuotaEntry(NamedTuple):
@@ -82,7 +82,7 @@
     customer_tag: int  # as returned by customer_tag()
     lease_id: int  # identifies the request at its gateway
     units: float
-    demand_per_s: float  # the customer's demand at the sending gateway; from a leader, at all gateways
+    demand_per_s: float  # the customer's demand at the sender; in a reply of the leader, at all gateways
     class_index: int  # position in Settings.classes
     plan_index: int  # position in Settings.plans
 
@@ -101,10 +101,10 @@
 
 
 class GossipMessage(NamedTuple):
-    """The contents of one datagram, with fixed-point numbers as floats."""
+    """The contents of one datagram; fixed-point numbers are converted to floats."""
 
     incarnation: int  # identifies the sending process of the gateway
-    target_concurrency: float  # attempts in flight at the sender's recent rate of responses
+    target_concurrency: float  # attempts in flight that the sender's recent rate of responses permits
     entries: tuple[QuotaEntry, ...]
     observations: tuple[EndpointObservation, ...]
 
@@ -146,9 +146,9 @@
 ) -> bytes:
     """Return the datagram that carries these entries and observations.
 
-    Entries and observations beyond the capacity of a datagram are omitted, and so are those with an index of
-    INDEX_LIMIT or more: an error would fail the sender's turn. Fixed-point values are rounded and limited
-    to the range of their fields.
+    Entries beyond MAX_ENTRIES, observations beyond MAX_OBSERVATIONS, and those with an index of INDEX_LIMIT
+    or more are omitted, because an exception would abort the sender's turn. Fixed-point values are rounded
+    and limited to the range of their fields.
     """
     sent_entries = [entry for entry in entries[:MAX_ENTRIES] if _has_valid_indexes(entry)]
     sent_observations = [
@@ -156,7 +156,7 @@
         for observation in observations[:MAX_OBSERVATIONS]
         if observation.class_index < INDEX_LIMIT
     ]
-    concurrency = _fixed_point(target_concurrency, _CONCURRENCY_SCALE)
+    concurrency = _to_fixed_point(target_concurrency, _CONCURRENCY_SCALE)
     header = _HEADER_LAYOUT.pack(_VERSION, incarnation & _MAX_UINT16, concurrency, len(sent_entries))
     packed_entries = map(_pack_entry, sent_entries)
     packed_observations = map(_pack_observation, sent_observations)
@@ -166,7 +166,8 @@
 def decode(data: bytes) -> GossipMessage | None:
     """Return the message in a datagram, or None if it is invalid.
 
-    A datagram is invalid if its size or its version is wrong, or if it contains an unknown kind of entry.
+    A datagram is invalid if it has another version or an unknown kind of entry, or if its size does not match
+    its contents or exceeds MAX_DATAGRAM_BYTES.
     """
     if len(data) < _HEADER_LAYOUT.size or len(data) > MAX_DATAGRAM_BYTES or data[0] != _VERSION:
         return None
@@ -176,7 +177,7 @@
         return None
     entry_rows = list(_ENTRY_LAYOUT.iter_unpack(data[_HEADER_LAYOUT.size : end_of_entries]))
     kinds = [row[0] for row in entry_rows]
-    if not _KINDS.issuperset(kinds):
+    if not _KIND_VALUES.issuperset(kinds):
         return None
     observation_rows = _OBSERVATION_LAYOUT.iter_unpack(data[end_of_entries:])
     return GossipMessage(
@@ -191,7 +192,7 @@
     return max(entry.class_index, entry.plan_index) < INDEX_LIMIT
 
 
-def _fixed_point(value: float, scale: int) -> int:
+def _to_fixed_point(value: float, scale: int) -> int:
     return max(0, min(_MAX_UINT16, round(value * scale)))
 
 
@@ -200,8 +201,8 @@
         entry.kind,
         entry.customer_tag,
         entry.lease_id & _MAX_UINT16,
-        _fixed_point(entry.units, _UNITS_SCALE),
-        _fixed_point(entry.demand_per_s, _UNITS_SCALE),
+        _to_fixed_point(entry.units, _UNITS_SCALE),
+        _to_fixed_point(entry.demand_per_s, _UNITS_SCALE),
         entry.class_index << _NIBBLE_BITS | entry.plan_index,
     )
 
--- a/gateway/interface/actions.py
+++ b/gateway/interface/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision package returns, and that its caller carries out.
+"""The actions that the decision package returns, and that its caller has to carry out.
 
 An `id` is the id of a request. A name that ends in `_by_ms` is a point in time; any other name that ends in
 `_ms` is a duration.
@@ -28,8 +28,8 @@
 class Reject:
     """Reject a request; this is its final answer.
 
-    The answer tells the client that a retry is harmless, and that it should wait for `retry_after_ms` before
-    the retry; 0 gives no advice.
+    A rejection means that a retry by the client is harmless. If `retry_after_ms` is not 0, the answer also
+    advises the client to wait for that time before it retries.
     """
 
     id: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Fail a request, which may have been executed; this is its final answer."""
+    """Answer a request with an error, although it may have been executed; this is its final answer."""
 
     id: int
 
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeEndpoints:
-    """Request updates of the endpoint list, which are `EndpointUpdate` events."""
+    """Request updates of the endpoint list, which arrive as `EndpointUpdate` events."""
 
 
 Action = (
--- a/gateway/interface/events.py
+++ b/gateway/interface/events.py
@@ -22,7 +22,7 @@
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_SENT = "not sent"  # the last byte of the request was not sent in time
+    NOT_SENT = "not sent"  # the last byte of the request was not sent before SendAttempt.send_by_ms
 
     @property
     def proves_not_executed(self) -> bool:
@@ -34,7 +34,7 @@
 
 
 class EndpointState(Enum):
-    """The state of an endpoint in the endpoint list; the values are those that discovery sends."""
+    """The state of an endpoint in the endpoint list; discovery sends these values."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -50,7 +50,7 @@
     cell: int  # group of endpoints within the zone
     state: EndpointState
     weight: float = 1.0  # capacity relative to other endpoints
-    started_at_ms: float = 0.0  # when the process started; 0 for long ago
+    started_at_ms: float = 0.0  # when the endpoint's process started; 0: so long ago that slow start is over
 
     def shares_keys_with(self, other: Endpoint, scope: KeyScope) -> bool:
         """Return whether both endpoints belong to the same deduplication group under this scope."""
@@ -61,7 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An update of the endpoint list: all entries or the changed ones; or the failure of an update."""
+    """An update of the endpoint list, or, if `failed`, the failure of an update.
+
+    `endpoints` contains all entries of the list if `is_snapshot`, and otherwise the changed entries.
+    """
 
     endpoints: tuple[Endpoint, ...]
     is_snapshot: bool = True
@@ -85,7 +88,7 @@
     first_gateway: int = 0
     spread: int = 1
     is_client_retry: bool = False
-    is_complete: bool = True  # False: the body is incomplete, and RequestCompleted will set the deadline
+    is_complete: bool = True  # False: the rest of the body follows, and RequestCompleted sets the deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCompleted:
-    """The last byte of a large request has been received, from which its new deadline counts."""
+    """The last byte of a large request has been received; its deadline counts from now on."""
 
     id: int
     deadline_at_ms: float
@@ -114,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended; if `final`, the request has been answered and has ended with it."""
+    """An attempt has ended; if `final`, the request has been answered and has ended as well."""
 
     id: int
     attempt: int
--- a/gateway/interface/json_object.py
+++ b/gateway/interface/json_object.py
@@ -22,16 +22,16 @@
 class JsonObject:
     """A parsed JSON object and its path in the document.
 
-    Each method returns the value of one key, or the fallback if the key is missing. It raises SettingsError,
-    whose text starts with the path of the key, if the value is null or has another type, or if the key is
-    missing and there is no fallback.
+    Each method returns the value of one key, or the fallback if the key is missing. It raises SettingsError
+    if the value is null or has another type, or if the key is missing and there is no fallback. The text of
+    the error starts with the path of the key.
     """
 
     def __init__(self, value: object, path: str) -> None:
         """Raise SettingsError if the value is not an object."""
         if not isinstance(value, dict):
             raise SettingsError(path, f"expected an object, received a value of type {type(value).__name__}")
-        self.value: dict[str, Any] = value  # the type of a value is checked when it is read
+        self.value: dict[str, Any] = value  # the type of each value is checked when the value is read
         self.path = path
 
     def number(self, key: str, fallback: float | None = None) -> float:
@@ -45,7 +45,7 @@
         return value
 
     def integer(self, key: str, fallback: float | None = None) -> int:
-        """Return a finite number, rounded towards zero to an integer."""
+        """Return the integer part of a finite number."""
         return int(self.number(key, fallback))
 
     def text(self, key: str, fallback: str | None = None) -> str:
--- a/gateway/interface/settings.py
+++ b/gateway/interface/settings.py
@@ -1,7 +1,7 @@
 """The settings of one gateway: its request classes, plans and limits, and its place in the fleet.
 
-Times are in milliseconds, and rates of customers in units per second. Some settings of the platform are read,
-but not used by this program; their comments say so.
+Times are in milliseconds, and rates of customers in units per second. The comments "read, but not used" mark
+settings of the platform that have no effect in this program.
 """
 
 from __future__ import annotations
@@ -19,13 +19,14 @@
 class Idempotency(Enum):
     """The effect of a second execution of a request."""
 
-    IDEMPOTENT = "idempotent"  # none: the request may be executed any number of times
-    WITH_KEY = "with key"  # none for some time: a group of endpoints drops duplicates of an idempotency key
-    NON_IDEMPOTENT = "non-idempotent"  # harm: the request must not be executed twice
+    IDEMPOTENT = "idempotent"  # no effect: the request may be executed any number of times
+    # No effect within the deduplication window: a group of endpoints drops duplicates of an idempotency key.
+    WITH_KEY = "with key"
+    NON_IDEMPOTENT = "non-idempotent"  # a harmful effect: the request must not be executed twice
 
 
 class KeyScope(Enum):
-    """The endpoints that share a record of idempotency keys: all, those of a zone, or those of a cell."""
+    """The group of endpoints that share a record of idempotency keys: all, a zone, or a cell of a zone."""
 
     ALL = "all"
     ZONE = "zone"
@@ -47,12 +48,12 @@
 
     name: str
     latency_objective_ms: float  # a response within this time has the full priority weight
-    deadline_ms: float  # maximum time for which a client waits
+    deadline_ms: float  # maximum time for which a client waits for the final answer
     priority_weight: float  # value of a response within the objective
     idempotency: Idempotency
     late_weight: float = 0.0  # value of a response after the objective, in the same unit
     key_scope: KeyScope = KeyScope.ALL
-    deduplication_window_ms: float = 0.0  # time for which endpoints remember an idempotency key
+    deduplication_window_ms: float = 0.0  # time for which endpoints drop duplicates of a key
     streamed: bool = False  # responses are streams, which may end after the deadline; read, but not used
     objective_stretch: float = 0.0  # read, but not used
 
@@ -78,12 +79,12 @@
     """
 
     name: str
-    rate_per_s: float = 0.0  # quota on the rate; 0: no such quota
+    rate_per_s: float = 0.0  # quota on the rate of units; 0: no quota on the rate
     burst: float = 0.0  # capacity of the quota's token bucket, in units
-    max_in_flight: int = 0  # quota on requests in flight; 0: no such quota
+    max_in_flight: int = 0  # quota on requests in flight; 0: no quota on requests in flight
     weight_factor: float = 1.0  # factor by which the class's priority weight is multiplied
-    overage_weight: float = 0.0  # factor of the weight for a request beyond the quota
-    overage_cost: float = 0.0  # cost of a request beyond the quota, in the unit of overage_weight
+    overage_weight: float = 0.0  # factor by which the priority weight of overage is multiplied
+    overage_cost: float = 0.0  # cost of overage, in the unit of overage_weight
     ceiling_per_s: float = 0.0  # rate that must never be exceeded; 0: no ceiling
     ceiling_burst: float = 0.0  # capacity of the ceiling's token bucket, in units
     ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded; read, but not used
@@ -116,7 +117,7 @@
     zone: str
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    slow_start_ms: float  # time that an endpoint takes to reach its full capacity
+    slow_start_ms: float  # time from the start of an endpoint until it has its full capacity
     slow_start_floor: float  # fraction of its capacity that an endpoint has when it starts
     overload_multiple: float  # multiple of its capacity at which an endpoint in slow start fails permanently
     overload_window_ms: float  # time over overload_multiple after which an endpoint fails; read, but not used
--- a/gateway/interface/settings_reader.py
+++ b/gateway/interface/settings_reader.py
@@ -14,8 +14,8 @@
 from gateway.interface.json_object import JsonObject
 from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 
-_SUBSCRIBE = "subscribe"  # value of the key "discovery": endpoint updates have to be requested
-_RETRY_AFTER_KEY = "retryAfter"  # flag: clients heed Retry-After
+_MANUAL_SUBSCRIPTION = "subscribe"  # value of "discovery": endpoint updates have to be requested
+_RETRY_AFTER_KEY = "retryAfter"  # key of the flag that states whether clients heed Retry-After
 
 _IDEMPOTENCY = {
     "retryable": Idempotency.IDEMPOTENT,
@@ -32,7 +32,7 @@
 
 
 class _Section(Enum):
-    """The objects of the JSON that hold settings; the values are their keys."""
+    """An object of the JSON that holds settings; the value is its key in the top object."""
 
     TOP = ""
     RULES = "rules"
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Field:
-    """The mapping of one setting: its name and key, and the function that reads its value."""
+    """The mapping of one setting from its JSON key to its name, and the function that reads its value."""
 
     name: str
     key: str
@@ -55,8 +55,8 @@
     fallback: object = None  # value for a missing key; None: the key is required
     section: _Section = _Section.TOP
 
-    def value(self, row: JsonObject) -> object:
-        """Return the value of the setting in an object; raises SettingsError if it is missing or invalid."""
+    def value_in(self, row: JsonObject) -> object:
+        """Return the value of the setting in an object; raise SettingsError if it is missing or invalid."""
         if self.fallback is None:
             return self.read(row, self.key)
         return self.read(row, self.key, self.fallback)
@@ -70,7 +70,9 @@
     """
     top = JsonObject(value, path)
     sections = {section: _section_of(top, section) for section in _Section}
-    values: dict[str, Any] = {field.name: field.value(sections[field.section]) for field in _SETTINGS_FIELDS}
+    values: dict[str, Any] = {
+        field.name: field.value_in(sections[field.section]) for field in _SETTINGS_FIELDS
+    }
     return Settings(**values)
 
 
@@ -80,44 +82,44 @@
     return top.object(section.value, {} if section in _OPTIONAL_SECTIONS else None)
 
 
-def _values(row: JsonObject, fields: tuple[_Field, ...]) -> dict[str, Any]:
-    return {field.name: field.value(row) for field in fields}
+def _field_values(row: JsonObject, fields: tuple[_Field, ...]) -> dict[str, Any]:
+    return {field.name: field.value_in(row) for field in fields}
 
 
-def _choice(row: JsonObject, key: str, choices: Mapping[str, _Choice], fallback: str | None) -> _Choice:
-    word = row.text(key, fallback)
-    if word not in choices:
-        raise SettingsError(f"{row.path}.{key}", f"expected one of {', '.join(choices)}, received {word!r}")
-    return choices[word]
+def _read_choice(row: JsonObject, key: str, choices: Mapping[str, _Choice], fallback: str | None) -> _Choice:
+    value = row.text(key, fallback)
+    if value not in choices:
+        raise SettingsError(f"{row.path}.{key}", f"expected one of {', '.join(choices)}, received {value!r}")
+    return choices[value]
 
 
-def _idempotency(row: JsonObject, key: str) -> Idempotency:
-    return _choice(row, key, _IDEMPOTENCY, None)
+def _read_idempotency(row: JsonObject, key: str) -> Idempotency:
+    return _read_choice(row, key, _IDEMPOTENCY, None)
 
 
-def _key_scope(row: JsonObject, key: str, fallback: str) -> KeyScope:
-    return _choice(row, key, _KEY_SCOPES, fallback)
+def _read_key_scope(row: JsonObject, key: str, fallback: str) -> KeyScope:
+    return _read_choice(row, key, _KEY_SCOPES, fallback)
 
 
-def _request_classes(top: JsonObject, key: str) -> tuple[RequestClass, ...]:
-    return tuple(RequestClass(**_values(row, _CLASS_FIELDS)) for row in top.objects(key))
+def _read_request_classes(top: JsonObject, key: str) -> tuple[RequestClass, ...]:
+    return tuple(RequestClass(**_field_values(row, _CLASS_FIELDS)) for row in top.objects(key))
 
 
-def _plans(top: JsonObject, key: str) -> tuple[Plan, ...]:
-    return tuple(Plan(**_values(row, _PLAN_FIELDS)) for row in top.objects(key))
+def _read_plans(top: JsonObject, key: str) -> tuple[Plan, ...]:
+    return tuple(Plan(**_field_values(row, _PLAN_FIELDS)) for row in top.objects(key))
 
 
-def _must_subscribe(top: JsonObject, key: str, fallback: str) -> bool:
-    return top.text(key, fallback) == _SUBSCRIBE
+def _read_must_subscribe(top: JsonObject, key: str, fallback: str) -> bool:
+    return top.text(key, fallback) == _MANUAL_SUBSCRIPTION
 
 
-def _max_retry_after_ms(limits: JsonObject, key: str, fallback: float) -> float:
+def _read_max_retry_after_ms(limits: JsonObject, key: str, fallback: float) -> float:
     return limits.number(key, fallback) if limits.flag(_RETRY_AFTER_KEY, False) else 0.0
 
 
 _CLASS_FIELDS = (
-    _Field("idempotency", "repeat", _idempotency),
-    _Field("key_scope", "keyScope", _key_scope, "all"),
+    _Field("idempotency", "repeat", _read_idempotency),
+    _Field("key_scope", "keyScope", _read_key_scope, "all"),
     _Field("name", "name", JsonObject.text),
     _Field("latency_objective_ms", "aimMs", JsonObject.number),
     _Field("deadline_ms", "deadlineMs", JsonObject.number),
@@ -145,8 +147,8 @@
     _Field("gateways", "balancers", JsonObject.integer),
     _Field("gateway_number", "myNumber", JsonObject.integer),
     _Field("zone", "locality", JsonObject.text, ""),
-    _Field("classes", "classes", _request_classes),
-    _Field("plans", "packages", _plans),
+    _Field("classes", "classes", _read_request_classes),
+    _Field("plans", "packages", _read_plans),
     _Field("slow_start_ms", "warmUpMs", JsonObject.number, section=_Section.RULES),
     _Field("slow_start_floor", "coldFrom", JsonObject.number, section=_Section.RULES),
     _Field("overload_multiple", "fallMultiple", JsonObject.number, section=_Section.RULES),
@@ -160,9 +162,9 @@
     _Field("may_gossip", "mayTell", JsonObject.flag, False, _Section.LIMITS),
     _Field("may_check_health", "probing", JsonObject.flag, False, _Section.LIMITS),
     _Field("may_hedge", "secondCopies", JsonObject.flag, False, _Section.LIMITS),
-    _Field("must_subscribe", "discovery", _must_subscribe, "automatic"),
+    _Field("must_subscribe", "discovery", _read_must_subscribe, "automatic"),
     _Field("post_paid", "postPaid", JsonObject.flag, False, _Section.DOMAIN),
-    _Field("max_retry_after_ms", "maxRetryAfterMs", _max_retry_after_ms, 0.0, _Section.LIMITS),
+    _Field("max_retry_after_ms", "maxRetryAfterMs", _read_max_retry_after_ms, 0.0, _Section.LIMITS),
     _Field("gossip_inbox_per_s", "inboxPerS", JsonObject.number, 0.0, _Section.DOMAIN),
     _Field("load_report_method", "how", JsonObject.text, "none", _Section.REPORT),
     _Field("report_fields", "fields", JsonObject.strings, section=_Section.REPORT),
