--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -115,6 +115,7 @@
         if latency_ratio == math.inf:
             endpoint.failures.add(class_name, weight)
         elif latency_ratio > OVERDUE_LATENCY_RATIO:
-            # A failure was recorded when the attempt became overdue. The response shows that there was none.
+            # The attempt was counted as a failure when it became overdue. Its late response shows that it did
+            # not fail, so the count is reduced again.
             failures = endpoint.failures.get(class_name, 0.0)
             endpoint.failures[class_name] = max(0.0, failures - weight)
--- a/gateway/policy/quota/demand.py
+++ b/gateway/policy/quota/demand.py
@@ -14,5 +14,5 @@
 
 
 def demand_per_s(demand: float) -> float:
-    """Return the constant request rate, in units per second, at which a demand stays at this value."""
+    """Return the constant rate of requests, in units per second, that results in this demand."""
     return demand * 1000 / DEMAND_TIME_CONSTANT_MS
--- a/gateway/policy/quota/leader_bucket.py
+++ b/gateway/policy/quota/leader_bucket.py
@@ -38,7 +38,7 @@
 
     id: int  # identifies the customer and its plan, as QuotaEntry.bucket_id does
     plan: Plan
-    quota_level: float  # units left in the quota; negative if gateways admitted more without a grant
+    quota_level: float  # units left in the quota; negative after too many admissions without a grant
     refilled_at_ms: float  # time up to which the levels and the demand are updated
     ceiling_level: float = 0.0  # units left in the leader's fraction of the ceiling
     demand: float = 0.0  # exponentially decaying sum of the units requested by all gateways
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -15,18 +15,21 @@
 # Expected time, in milliseconds, from a lease request to its reply, until the first reply is received.
 INITIAL_EXPECTED_REPLY_MS = 60.0
 
-# A reply is overdue after this multiple of the expected reply time, or after the minimum, in milliseconds, if
-# that is later.
+# Time after which a leader's reply is overdue, as a multiple of the expected reply time.
 OVERDUE_FACTOR = 2.5
+
+# Minimum time, in milliseconds, before a leader's reply is overdue, even if the expected reply time is short.
 MIN_OVERDUE_MS = 30.0
 
 # If a request ends before its leader's reply arrives, this multiple of the request's time in the gateway is
 # assumed as the reply time.
 MISSED_REPLY_FACTOR = 2.0
 
-# Limit on the rate of one customer's lease requests at its leader, which is the greater of two bounds: a
-# fraction of the rate of the leader's gossip inbox, and a multiple of the rate of the customer's quota.
+# Fraction of the rate of its leader's gossip inbox that the lease requests of one customer may use.
 CUSTOMER_INBOX_FRACTION = 0.5
+
+# Rate of lease requests that one customer may use in any case, even if it is a greater part of its leader's
+# gossip inbox, as a multiple of the rate of the customer's quota.
 CUSTOMER_QUOTA_FACTOR = 2.0
 
 # Maximum number of lease requests that are sent for one request. If the reply to the last of them is overdue,
--- a/gateway/policy/state_transfer/gateway_state.py
+++ b/gateway/policy/state_transfer/gateway_state.py
@@ -77,7 +77,7 @@
     def from_json(cls, value: dict[str, Any]) -> GatewayState:
         """Return the state in a JSON object.
 
-        Raises KeyError for a missing key, and TypeError or ValueError for a value or a row of another form.
+        Raises KeyError for a missing key, and TypeError or ValueError for a malformed value or row.
         """
         return cls(
             exported_at_ms=value[_Key.EXPORTED_AT_MS],
--- a/gateway/policy/state_transfer/snapshots.py
+++ b/gateway/policy/state_transfer/snapshots.py
@@ -53,7 +53,7 @@
 
     @classmethod
     def from_row(cls, row: Row) -> AccountSnapshot:
-        """Return the snapshot in a row; raises TypeError or ValueError if the row has another form."""
+        """Return the snapshot in a row; raises TypeError or ValueError if the row is malformed."""
         key, *values = row
         return cls(AccountKey(*key), *values)
 
@@ -89,7 +89,7 @@
 
     @classmethod
     def from_row(cls, row: Row) -> LeaseRequestSnapshot:
-        """Return the snapshot in a row; raises TypeError or ValueError if the row has another form."""
+        """Return the snapshot in a row; raises TypeError or ValueError if the row is malformed."""
         key, entry, *values = row
         kind, *entry_values = entry
         return cls(LeaseKey(*key), QuotaEntry(EntryKind(kind), *entry_values), *values)
@@ -142,7 +142,7 @@
 
     @classmethod
     def from_row(cls, row: Row) -> BucketSnapshot:
-        """Return the snapshot in a row; raises TypeError or ValueError if the row has another form."""
+        """Return the snapshot in a row; raises TypeError or ValueError if the row is malformed."""
         *levels, queue, slots, granted = row
         lease_requests = [LeaseRequestSnapshot.from_row(queued) for queued in queue]
         return cls._make([*levels, lease_requests, _lease_times_from(slots), _lease_times_from(granted)])
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -24,7 +24,7 @@
     LEASE_REPLY_OVERDUE = auto()  # the quota leader has not replied to a lease request in time
     LEASE_EXPIRED = auto()  # the quota leader has dropped a queued lease request
     HEDGE = auto()  # an attempt is overdue, and its request may be hedged
-    QUEUE_TIMEOUT = auto()  # a queued request has too little time left to be answered
+    QUEUE_TIMEOUT = auto()  # the time for which a request may be queued has ended
     DEADLINE = auto()  # the final answer has to be given before the client's deadline
 
 
