--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -26,34 +26,38 @@
 # moves toward this multiple of the request's time in the gateway, unless it is already longer.
 MISSED_REPLY_FACTOR = 2.0
 
-# The lease requests of one customer may fill this fraction of its leader's gossip inbox, or arrive at this
-# multiple of the rate of the customer's quota, whichever is more.
+# Fraction of the rate of its leader's gossip inbox that the lease requests of one customer may use.
 CUSTOMER_INBOX_FRACTION = 0.5
+
+# Rate of lease requests that one customer may use in any case, even if it is a greater part of its leader's
+# gossip inbox, as a multiple of the rate of the customer's quota.
 CUSTOMER_QUOTA_FACTOR = 2.0
 
 # Maximum number of lease requests sent for one request. If the reply to the last of them is overdue, the
 # leader counts as silent. If the request cannot wait any longer, one lease request without a reply suffices.
 MAX_LEASE_REQUESTS = 2
 
-# Interval, in milliseconds, at which a request whose leader is silent tries the local bucket again.
-SILENT_LEADER_RETRY_MS = 250.0
+# Interval, in milliseconds, at which the gateway again tries to admit a waiting request from the local bucket
+# while the request's quota leader is silent.
+SILENT_LEADER_RETRY_INTERVAL_MS = 250.0
 
 
-class QuotaListener(Protocol):
+class LeaseReplyListener(Protocol):
     """Receives the replies of quota leaders to lease requests."""
 
-    def on_lease_reply(self, request: RequestRecord, verdict: EntryKind) -> None:
+    def on_lease_reply(self, request: RequestRecord, reply_kind: EntryKind) -> None:
         """Handle the leader's reply about a request: GRANT, QUEUED or DENY."""
 
 
 class LeaseClient(PolicyComponent):
     """Admits requests from the local buckets and by leases of the quota leaders.
 
-    While a customer's leader is silent, requests are admitted optimistically: each admission puts the local
-    bucket into debt, and the next one has to wait until the bucket has refilled.
+    While a customer's leader is silent, requests are admitted optimistically: a request is admitted even if
+    the local bucket holds too few units for it. Its units are subtracted all the same, and while the bucket
+    is in debt, no further request of the customer is admitted.
     """
 
-    def __init__(self, context: PolicyContext, listener: QuotaListener, send: EntrySender) -> None:
+    def __init__(self, context: PolicyContext, listener: LeaseReplyListener, send: EntrySender) -> None:
         super().__init__(context)
         self.accounts = QuotaAccounts(context)
         self.leases = LeaseTable(context.settings)
@@ -109,7 +113,9 @@
             self._request_lease(request)
             return False
         self._silent_leaders.add(account.leader)
-        self._schedule(self._turn.now_ms + SILENT_LEADER_RETRY_MS, TimerKind.LEASE_REPLY_OVERDUE, request.id)
+        self._schedule(
+            self._turn.now_ms + SILENT_LEADER_RETRY_INTERVAL_MS, TimerKind.LEASE_REPLY_OVERDUE, request.id
+        )
         if account.quota_level < 0 or (request.plan.max_in_flight and account.in_flight):
             return False
         return self._admit_locally(request)
@@ -148,7 +154,7 @@
         requests (`max_in_flight`), each such request returns its slot. Other requests return nothing. If the
         leader has not replied to a lease request, the expected reply time may be raised.
         """
-        self.leases.remove(request)
+        self.leases.remove_request(request)
         if request.lease_requests and not request.leader_replied:
             self._raise_expected_reply(request)
         if request.units_drawn and (not request.attempts_sent or request.plan.max_in_flight):
@@ -207,7 +213,7 @@
         Only the first reply to a request counts, and only if one lease request was sent for it. After a
         repetition it is not known which of the lease requests the reply answers.
 
-        Replies of this gateway to itself take no time and are not counted.
+        Replies that this gateway sends to itself take no time and are not counted.
         """
         is_first_reply = request.lease_requests == 1 and not request.leader_replied
         if is_first_reply and sender != self._settings.gateway_number:
