--- a/gateway/network/admin/endpoint.py
+++ b/gateway/network/admin/endpoint.py
@@ -48,7 +48,7 @@
     timers: Timers
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process serves and has not handed over to a successor."""
 
     def metrics_text(self) -> bytes:
@@ -124,7 +124,7 @@
         self.connections.pop(connection, None)
 
     def _respond_readiness(self) -> AdminResponse:
-        if self.gateway.ready:
+        if self.gateway.is_ready:
             return AdminResponse(HTTPStatus.OK, b"yes\n")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"no\n")
 
--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -51,12 +51,12 @@
         timers.call_at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process is ready to serve clients."""
         return self._role.is_ready
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether each connection must close after its current response."""
         return self._role.phase is ServicePhase.DRAINING
 
@@ -115,7 +115,7 @@
         self.timers.call_at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
         self.hand_over_idle_connections()
         self._requests.drop_disconnected_uploads()
-        self.connections.sweep(now_ms, self.draining)
+        self.connections.sweep(now_ms, self.is_draining)
 
     # -- requests
 
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -241,7 +241,7 @@
         The pause bounds the load that a client causes by repeating bad requests without delay. The connection
         closes if the client does not keep it alive, or if the gateway drains.
         """
-        if not self._keep_alive or self._handler.draining:
+        if not self._keep_alive or self._handler.is_draining:
             self._abort_request(status)
             return
         self._reset_request_state()
@@ -335,7 +335,7 @@
             self._discard_body()
 
     def _send_readiness(self) -> None:
-        if self._handler.ready:
+        if self._handler.is_ready:
             self._send_complete(HTTPStatus.OK, b"up\n", TEXT_PLAIN)
         else:
             self._send_complete(HTTPStatus.SERVICE_UNAVAILABLE, b"not up\n", TEXT_PLAIN)
@@ -391,7 +391,7 @@
     def _must_close(self) -> bool:
         """Return whether the connection closes after the current response."""
         is_ending = self.state is _PIPELINED or self.state is _CLOSING
-        return is_ending or self._handler.draining or not self._keep_alive
+        return is_ending or self._handler.is_draining or not self._keep_alive
 
     def _become_idle(self) -> None:
         self.state = _IDLE
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -186,22 +186,22 @@
                     self.remove(client)
                     client.abort()
 
-    def sweep(self, now_ms: float, draining: bool) -> None:
+    def sweep(self, now_ms: float, is_draining: bool) -> None:
         """Close each connection that has exceeded a time limit; to be called every SWEEP_INTERVAL_MS.
 
         Args:
             now_ms: The current time.
-            draining: Whether the gateway drains, which shortens the input timeout and the lingering.
+            is_draining: Whether the gateway drains, which shortens the input timeout and the lingering.
         """
-        self._sweep_slow_input(now_ms, draining)
+        self._sweep_slow_input(now_ms, is_draining)
         self._sweep_overload(now_ms)
         self._sweep_idle(now_ms)
-        self._sweep_closing(now_ms, draining)
+        self._sweep_closing(now_ms, is_draining)
 
-    def _sweep_slow_input(self, now_ms: float, draining: bool) -> None:
-        timeout_ms = SHUTDOWN_INPUT_TIMEOUT_MS if draining else INPUT_TIMEOUT_MS
+    def _sweep_slow_input(self, now_ms: float, is_draining: bool) -> None:
+        timeout_ms = SHUTDOWN_INPUT_TIMEOUT_MS if is_draining else INPUT_TIMEOUT_MS
         for client in _older_than(self._awaiting_request, now_ms, timeout_ms):
-            if draining or client.is_input_overdue(now_ms, timeout_ms, MIN_BODY_BYTES_PER_MS):
+            if is_draining or client.is_input_overdue(now_ms, timeout_ms, MIN_BODY_BYTES_PER_MS):
                 client.on_input_timeout()
 
     def _sweep_overload(self, now_ms: float) -> None:
@@ -224,9 +224,9 @@
         for client in expired:
             client.close_if_idle()
 
-    def _sweep_closing(self, now_ms: float, draining: bool) -> None:
+    def _sweep_closing(self, now_ms: float, is_draining: bool) -> None:
         for client in _older_than(self._closing, now_ms, LINGER_TIMEOUT_MS):
-            may_linger = now_ms - client.closing_since_ms < MAX_LINGER_MS and not draining
+            may_linger = now_ms - client.closing_since_ms < MAX_LINGER_MS and not is_draining
             if client.received_while_closing and may_linger:
                 client.received_while_closing = False
                 self._closing[client] = self._closing.pop(client) + LINGER_TIMEOUT_MS
--- a/gateway/network/clients/request_handler.py
+++ b/gateway/network/clients/request_handler.py
@@ -36,11 +36,11 @@
     timers: Timers
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process is ready to serve clients."""
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether each connection must close after its current response."""
 
     @property
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -163,7 +163,7 @@
     # -- the admin endpoint
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process is ready to serve clients."""
         return self.role.is_ready
 
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -79,7 +79,7 @@
         the link, so that the requesting process does not wait for a state that never comes.
         """
         packet.close_descriptors()
-        if packet.type is PacketType.TAKE_OVER and self._gateway.ready:
+        if packet.type is PacketType.TAKE_OVER and self._gateway.is_ready:
             self._hand_over(link)
         elif packet.type is PacketType.TAKE_OVER:
             link.close()
--- a/tests/support/gateway_steps.py
+++ b/tests/support/gateway_steps.py
@@ -49,4 +49,4 @@
 
 def sweep_after(gateway, ms):
     """Sweep the connections of clients as if this many ms had passed."""
-    gateway.connections.sweep(gateway.clock.now() + ms, gateway.frontend.draining)
+    gateway.connections.sweep(gateway.clock.now() + ms, gateway.frontend.is_draining)
