--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -113,7 +113,7 @@
         self.stop_listening()
         self._listener.stop_accepting()
         state = HandoverState(
-            request_ids=gateway.requests.ids.to_json(),
+            request_ids=gateway.requests.ids.to_strings(),
             controller_state=controller_state,
             open_descriptors=len(os.listdir("/proc/self/fd")),
         )
--- a/gateway/network/recent_ids.py
+++ b/gateway/network/recent_ids.py
@@ -39,7 +39,7 @@
         self._ended_before_rotation = self._ended
         self._ended = set()
 
-    def to_json(self) -> list[str]:
+    def to_strings(self) -> list[str]:
         """Return all ids as strings, for the state that is transferred to the successor."""
         return [request_id.decode() for request_id in self._open | self._ended | self._ended_before_rotation]
 
--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -63,7 +63,7 @@
     assert endpoint.requests.empty()
     gateway.requests.rotate_ids()
     gateway.requests.rotate_ids()
-    assert not gateway.requests.ids.to_json()
+    assert not gateway.requests.ids.to_strings()
 
 
 # Requests after whose error response the connection stays open, and the status of the response.
