--- a/gateway/network/clients/upload.py
+++ b/gateway/network/clients/upload.py
@@ -30,7 +30,7 @@
     """The endpoint connection to which a body is forwarded."""
 
     @property
-    def blocked(self) -> bool:
+    def is_blocked(self) -> bool:
         """Whether the write buffer of the connection is full."""
 
     def write_part(self, data: bytes) -> None:
@@ -99,7 +99,7 @@
             sink.write_last(data + (LAST_CHUNK if self._chunked else b""))
         else:
             sink.write_part(data)
-            self._client.set_body_paused(sink.blocked)
+            self._client.set_body_paused(sink.is_blocked)
 
     def on_endpoint_blocked(self, blocked: bool) -> None:
         """Pause reading from the client if the endpoint connection's write buffer is full, else resume."""
--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -242,7 +242,7 @@
             self._last_progress_ms = now_ms
         stalled_ms = now_ms - self._last_progress_ms
         if sink is None:
-            return self.writer.blocked and stalled_ms > UPLOAD_STALL_TIMEOUT_MS
+            return self.writer.is_blocked and stalled_ms > UPLOAD_STALL_TIMEOUT_MS
         return stalled_ms > RESPONSE_STALL_TIMEOUT_MS
 
     def _is_reset_pending(self) -> bool:
--- a/gateway/network/upstream/request_writer.py
+++ b/gateway/network/upstream/request_writer.py
@@ -52,7 +52,7 @@
         self._metrics = metrics
 
     @property
-    def blocked(self) -> bool:
+    def is_blocked(self) -> bool:
         """Whether the transport's write buffer is full."""
         return self.state is _BLOCKED or self.state is _FLUSHING
 
--- a/tests/network/clients/test_upload.py
+++ b/tests/network/clients/test_upload.py
@@ -13,7 +13,7 @@
     def __init__(self, disconnected=False):
         self.is_body_released = False
         self.disconnected = disconnected
-        self.blocked = False
+        self.is_blocked = False
         self.written = b""
 
     def on_body_released(self):
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -82,7 +82,7 @@
     (attempt,) = gateway.attempts.in_flight.values()
     await wait_until(
         lambda: attempt.connection
-        and attempt.connection.writer.blocked
+        and attempt.connection.writer.is_blocked
         and connection.body_progress.paused_since_ms
     )
     assert attempt.connection.transport.get_write_buffer_size() < 1024 * 1024
--- a/tests/network/upstream/test_request_writer.py
+++ b/tests/network/upstream/test_request_writer.py
@@ -64,7 +64,7 @@
     for step in steps:
         apply_step(writer, step)
     assert writer.state is state
-    assert writer.blocked is blocked
+    assert writer.is_blocked is blocked
     assert writer.is_unsent is (state is not WriterState.WRITTEN)
     assert metrics.forwarded_attempts == written
     assert len(transport.data) == sum(step in (PART, LAST) for step in steps)
