--- a/gateway/__main__.py
+++ b/gateway/__main__.py
@@ -23,9 +23,9 @@
 
 
 def configure_logging() -> None:
-    """Send log records of level INFO and above to standard error, without blocking when its reader stalls."""
-    # sys.stderr is None if the process was started with standard error closed. Nothing is logged then,
-    # because descriptor 2 may be reused, for example for a client's socket.
+    """Write log records from level INFO on to standard error; a stalled reader does not block the process."""
+    # sys.stderr is None if the process was started with standard error closed. Nothing is logged in this
+    # case, because descriptor 2 may then belong to another file, for example to a client's socket.
     handler = logging.NullHandler() if sys.stderr is None else NonBlockingHandler(sys.stderr.fileno())
     logging.basicConfig(
         handlers=[handler], level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
@@ -35,8 +35,8 @@
 def main() -> int:
     """Run one gateway process until a signal stops it, and return the exit code."""
     configure_logging()
-    # A SIGHUP before its handler is installed would end the process. It can be ignored, because the
-    # configuration is about to be read anyway.
+    # A SIGHUP that arrives before its handler is installed would end the process. It is ignored instead: the
+    # configuration that it asks to reload is read below.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load_config(os.environ)
--- a/gateway/log_handler.py
+++ b/gateway/log_handler.py
@@ -15,9 +15,9 @@
 class NonBlockingHandler(logging.Handler):
     """Writes each record as a line to a file descriptor, and drops records for which there is no space.
 
-    The handler polls before each write instead of setting the descriptor to non-blocking mode, because the
-    mode would change for all processes that share the descriptor. When there is space again, the number of
-    dropped records is written before the next record.
+    The handler polls the descriptor before each write. Non-blocking mode is not used instead, because it
+    would apply to all processes that share the descriptor. When there is space again, the number of dropped
+    records is written before the next record.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -26,7 +26,7 @@
         self._descriptor = descriptor
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._dropped_records = 0  # not reported by a line in the log yet
+        self._dropped_records = 0  # records dropped since the last line that reported a number
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write the record, or drop and count it if there is no space."""
--- a/gateway/network/clients/body_progress.py
+++ b/gateway/network/clients/body_progress.py
@@ -10,11 +10,11 @@
     """
 
     def __init__(self) -> None:
-        """Wait for the head of the first request."""
+        """Create a measurement that starts with the end of the first request's head."""
         self.reset()
 
     def reset(self) -> None:
-        """Discard the measurement, and wait for the head of the next request."""
+        """Discard the measurement; the next one starts with the end of the next request's head."""
         self.paused_since_ms = 0.0  # 0 unless reading of the body is paused
         # The time at which the head was complete plus the duration of all pauses; 0 until the head is
         # complete.
@@ -42,8 +42,8 @@
         Args:
             now_ms: The current time.
             body_bytes: The bytes of the body received so far.
-            timeout_ms: The time that the client has even for an empty body.
-            min_bytes_per_ms: The minimum rate.
+            timeout_ms: The time that the client has in addition to the time at the minimum rate.
+            min_bytes_per_ms: The minimum rate of the body, in bytes per millisecond.
         """
         if not self._body_started_ms:
             return True
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -31,19 +31,20 @@
 from gateway.network.clients.response_writer import CONTINUE, ResponseWriter
 from gateway.network.clients.upload import Upload
 
-# Bytes of a response that are buffered for a slow client; above this, the gateway stops reading the response
-# from the endpoint.
+# Maximum number of bytes that wait in the write buffer of a client connection before the gateway stops
+# reading the response from the endpoint. Reading continues once the client has read enough of them.
 MAX_RESPONSE_BACKLOG_BYTES = 64 * 1024
 
-# Milliseconds for which a connection is not read after its first rejected request. The pause doubles with
-# each further rejected request.
+# Milliseconds for which the gateway does not read from a connection after its first rejected request. The
+# pause doubles with each further rejected request on the connection, up to MAX_REJECTION_PAUSE_MS.
 MIN_REJECTION_PAUSE_MS = 50.0
 
-# Upper bound of the pause after a rejected request, in milliseconds.
+# Maximum time in milliseconds for which the gateway does not read from a connection after a rejected request.
 MAX_REJECTION_PAUSE_MS = 1000.0
 
-# Number of rejected requests after which the pause no longer doubles. The pause has reached its upper bound
-# by then; without this limit, the power of two would grow with each further request.
+# Number of rejected requests on a connection after which the exponent of the pause stops growing. The pause
+# has reached MAX_REJECTION_PAUSE_MS by then. Without this limit, the power of two from which it is computed
+# would grow with each further request.
 MAX_PAUSE_DOUBLINGS = 10
 
 # The states as module variables, because access to an enum member through its class is slow in Python 3.11.
@@ -70,7 +71,7 @@
         """Start idle; the event loop supplies the transport by `connection_made`.
 
         Args:
-            handler: Handles the requests of the connection, and is told when its state changes.
+            handler: Handles the requests of the connection and the changes of its state.
             is_transferred: Whether the predecessor has handed the connection over.
         """
         self.is_transferred = is_transferred
@@ -82,7 +83,7 @@
         self.closing_since_ms = 0.0
         self._handler = handler
         self._writer = ResponseWriter()
-        self._rejection_count = 0  # rejected requests after which the connection stayed open
+        self._rejection_count = 0  # number of rejected requests that left the connection open
         self.body_progress = BodyProgress()
         self._reset_request_state()
 
@@ -112,8 +113,8 @@
     def data_received(self, data: bytes) -> None:
         """Process bytes from the client according to the state of the connection.
 
-        Bytes that follow a request before its response are read and discarded. If they stayed in the socket,
-        the gateway would not detect that the client closes the connection after them.
+        Bytes that arrive after a complete request and before its response are read and discarded. If they
+        stayed in the socket, the gateway would not detect that the client closes the connection.
         """
         if self.state is _CLOSING:
             self.received_while_closing = True
@@ -286,8 +287,8 @@
     ) -> None:
         """Write the complete response of the open request, unless the connection is closing.
 
-        The response may be sent while the body of the request is still being received. The rest of the body
-        is then discarded, or the connection closes.
+        The response may be sent while the body of the request is still being received. The remaining bytes of
+        the body are then discarded, or the connection closes.
         """
         self.request = None
         if self.transport.is_closing():
@@ -383,7 +384,7 @@
             self._become_idle()
 
     def abort_response(self) -> None:
-        """Abort the connection during a forwarded response, so that the client detects the missing rest."""
+        """Abort the connection, so that the client detects that the forwarded response is incomplete."""
         self.request = None
         self.response_source = None
         self.abort()
@@ -398,7 +399,7 @@
         self._handler.on_connection_idle(self)
 
     def _discard_body(self) -> None:
-        """Read and discard the rest of a request whose response has been sent."""
+        """Start to discard the remaining bytes of a request whose response has been sent."""
         self.state = _DISCARDING
         self._upload = None
         self.set_body_paused(False)
@@ -428,14 +429,14 @@
     # -- the end of the connection
 
     def abort(self) -> None:
-        """Abort the connection without writing what is buffered."""
+        """Close the connection at once, and discard bytes that have not been written to the socket."""
         self.state = _CLOSING
         self.transport.abort()
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request on it is open, being received or unread in the socket.
 
-        If the connection closed during such a request, the client would have to send the request again.
+        If the connection closed during one of these requests, the client would have to send it again.
         """
         is_unused = self.state is _IDLE or self.state is _PAUSED
         if is_unused and not self.has_unread_input():
@@ -449,10 +450,10 @@
             self.close_if_idle()
 
     def _finish_and_linger(self, data: bytes) -> None:
-        """Write the last bytes and shut down the sending side, but continue to read for a while.
+        """Write the last bytes and shut down the sending side, but continue to read and discard input.
 
-        If the socket closed with unread input, the kernel would reset the connection, which could discard the
-        last bytes before the client has read them. The limiter ends the reading.
+        If the socket were closed with unread input, the kernel would reset the connection, and the client
+        could lose the last bytes. The connection limiter closes the connection after its linger timeout.
         """
         if self.transport.is_closing():
             return
@@ -462,9 +463,9 @@
         self.transport.resume_reading()
 
     def _close(self) -> None:
-        """Close the connection after all buffered bytes are written.
+        """Close the connection once all buffered bytes have been written.
 
-        The limiter aborts it if the client does not read them in time.
+        The connection limiter aborts it if the client does not read the bytes in time.
         """
         self._enter_closing()
         self.transport.close()
@@ -493,7 +494,7 @@
         return self.state is _CLOSING
 
     def is_transferable(self) -> bool:
-        """Return whether the connection is idle with all responses written, and can be handed over."""
+        """Return whether the connection can be handed over: it is idle, and all responses are written."""
         if self.state is not _IDLE or self.transport.is_closing():
             return False
         return not self.transport.get_write_buffer_size()
@@ -514,7 +515,7 @@
     def is_disconnected(self) -> bool:
         """Return whether the client has shut down its sending side.
 
-        The socket is polled, because the transport does not report the end while reading is paused.
+        The socket is polled, because the transport does not report a disconnect while reading is paused.
         """
         return self._has_socket_event(select.POLLRDHUP)
 
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -17,46 +17,52 @@
 import asyncio
 from typing import Protocol
 
-# Number of client connections above which some are evicted, as a fraction of the descriptors.
+# Number of open client connections above which connections without an open request are evicted (closed
+# early), as a fraction of the descriptors that connections to clients and endpoints share.
 EVICTION_THRESHOLD_FRACTION = 0.38
 
-# Number of client connections at which new ones are refused, as a fraction of the descriptors. The difference
-# to the eviction threshold leaves descriptors for evicted connections that are not closed yet.
+# Number of open client connections at which new connections are refused, as a fraction of the descriptors
+# that connections to clients and endpoints share. It exceeds EVICTION_THRESHOLD_FRACTION, so that descriptors
+# remain for evicted connections that are not closed yet.
 ADMITTED_FRACTION = 0.46
 
-# Number of idle client connections that may stay open for IDLE_TIMEOUT_MS, as a fraction of the descriptors.
-# Those in excess close after MIN_IDLE_MS.
+# Number of idle client connections that may stay open for IDLE_TIMEOUT_MS, as a fraction of the descriptors
+# that connections to clients and endpoints share. Idle connections beyond this number close after
+# MIN_IDLE_MS.
 IDLE_FRACTION = 0.02
 
-# Number of client connections above which the process counts as overloaded, as a fraction of the descriptors:
-# connections in excess that have no request then close after OVERLOAD_IDLE_MS.
+# Number of client connections above which the process counts as overloaded, as a fraction of the descriptors
+# that connections to clients and endpoints share. Under overload, as many connections without a request as
+# exceed this number close after OVERLOAD_IDLE_MS.
 OVERLOAD_FRACTION = 0.26
 
 # Milliseconds that a client has to send the head of a request, from the start of a new connection or from the
 # first byte of a later request.
 INPUT_TIMEOUT_MS = 2500.0
 
-# Milliseconds; replaces INPUT_TIMEOUT_MS while the gateway drains.
+# Milliseconds that a client has to send a request while the gateway drains before it shuts down. It is
+# shorter than INPUT_TIMEOUT_MS, which applies otherwise.
 SHUTDOWN_INPUT_TIMEOUT_MS = 500.0
 
 # Minimum rate of a request body in bytes per millisecond, from the end of the head. A request is rejected if
 # its body takes longer than the input timeout plus the time that the received bytes need at this rate.
 MIN_BODY_BYTES_PER_MS = 32.0
 
-# Milliseconds for which a connection may be idle although there are more idle connections than IDLE_FRACTION
+# Milliseconds for which a connection may stay idle even if there are more idle connections than IDLE_FRACTION
 # allows.
 MIN_IDLE_MS = 2000.0
 
-# Milliseconds; replaces MIN_IDLE_MS while there are more connections than OVERLOAD_FRACTION allows.
+# Milliseconds for which a connection without a request stays open while there are more client connections
+# than OVERLOAD_FRACTION allows.
 OVERLOAD_IDLE_MS = 250.0
 
-# Milliseconds after which an idle connection closes in any case.
+# Milliseconds after which an idle connection closes even if there are few idle connections.
 IDLE_TIMEOUT_MS = 60_000.0
 
-# Milliseconds for which a closing connection waits for further input before it is aborted.
+# Milliseconds without input from the client after which a connection that the gateway is closing is aborted.
 LINGER_TIMEOUT_MS = 1000.0
 
-# Milliseconds after which a closing connection is aborted although input still arrives.
+# Milliseconds after which a connection that the gateway is closing is aborted even if input still arrives.
 MAX_LINGER_MS = 5000.0
 
 # Milliseconds between two searches for connections that have exceeded a time limit.
@@ -75,7 +81,7 @@
         """Whether a request is being received."""
 
     def is_transferable(self) -> bool:
-        """Return whether the connection is idle with all responses written, and can be handed over."""
+        """Return whether the connection can be handed over: it is idle, and all responses are written."""
 
     def has_unread_input(self) -> bool:
         """Return whether the socket holds unread bytes, or an unread end of the connection."""
@@ -90,7 +96,7 @@
         """Reject the request being received; if there is none, close the connection."""
 
     def abort(self) -> None:
-        """Abort the connection without writing what is buffered."""
+        """Close the connection at once, and discard bytes that have not been written to the socket."""
 
 
 # Maps each connection to the time at which it entered the table, in milliseconds.
@@ -98,7 +104,7 @@
 
 
 class ConnectionLimiter:
-    """Admits client connections, and closes those in excess of the limits on number and time."""
+    """Admits client connections, and closes those that exceed a limit on their number or a time limit."""
 
     def __init__(self, descriptors: int) -> None:
         """Start without connections, with limits for this number of descriptors."""
@@ -115,7 +121,7 @@
     def update_limits(self, descriptors: int) -> None:
         """Derive all limits from the number of descriptors that clients and endpoints share.
 
-        The increments made for transferred connections are discarded.
+        The increments that `add_transferred` has made are discarded.
         """
         self.eviction_threshold = int(descriptors * EVICTION_THRESHOLD_FRACTION)
         self.max_admitted = int(descriptors * ADMITTED_FRACTION)
@@ -125,7 +131,8 @@
     def add_transferred(self, client: LimitedConnection, now_ms: float) -> None:
         """Add an idle connection that the predecessor has handed over.
 
-        Each limit grows by one, because the connection brings its descriptor along.
+        Each limit grows by one, because the limits were derived without the connection's descriptor, which
+        the predecessor held.
         """
         self.eviction_threshold += 1
         self.max_admitted += 1
@@ -148,12 +155,13 @@
     def remove(self, client: LimitedConnection) -> None:
         """Remove a connection that has closed or that has been handed over to another process."""
         self.open_connections.discard(client)
-        self._leave_tables(client)
+        self._remove_from_tables(client)
 
     def on_message_started(self, client: LimitedConnection, now_ms: float) -> None:
         """Start the input timeout of a request.
 
-        On a new connection it already runs since the connection was added, and is not restarted.
+        For the first request of a connection, the timeout has started when the connection was added, and it
+        is not restarted.
         """
         self._idle.pop(client, None)
         self._awaiting_request.setdefault(client, now_ms)
@@ -168,15 +176,15 @@
 
     def on_closing(self, client: LimitedConnection, now_ms: float) -> None:
         """Start the linger timeout of a connection that the gateway begins to close."""
-        self._leave_tables(client)
+        self._remove_from_tables(client)
         self._closing[client] = now_ms
 
     def evict_excess(self) -> None:
         """Abort connections until their number no longer exceeds `eviction_threshold`.
 
-        Closing connections are aborted first, then connections that await a request, then idle ones; within
-        each group, those that have been in it for longest. Connections with an open request stay, and so do
-        those with unread input unless they are closing.
+        Closing connections are aborted first, then connections that await a request, then idle connections.
+        Within each of these groups, the connection that entered it first is aborted first. Connections with
+        an open request stay open. Connections with unread input also stay open, unless they are closing.
         """
         for table in (self._closing, self._awaiting_request, self._idle):
             for client in list(table):
@@ -193,39 +201,48 @@
             now_ms: The current time.
             is_draining: Whether the gateway drains, which shortens the input timeout and the lingering.
         """
-        self._sweep_slow_input(now_ms, is_draining)
-        self._sweep_overload(now_ms)
-        self._sweep_idle(now_ms)
-        self._sweep_closing(now_ms, is_draining)
+        self._time_out_input(now_ms, is_draining)
+        self._close_unused_under_overload(now_ms)
+        self._close_expired_idle(now_ms)
+        self._abort_expired_closing(now_ms, is_draining)
 
-    def _sweep_slow_input(self, now_ms: float, is_draining: bool) -> None:
+    def _time_out_input(self, now_ms: float, is_draining: bool) -> None:
+        """Report the input timeout to connections whose request has not been received in time.
+
+        While the gateway drains, a body has no more time than the head.
+        """
         timeout_ms = SHUTDOWN_INPUT_TIMEOUT_MS if is_draining else INPUT_TIMEOUT_MS
-        for client in _older_than(self._awaiting_request, now_ms, timeout_ms):
+        for client in _in_table_longer_than(self._awaiting_request, now_ms, timeout_ms):
             if is_draining or client.is_input_overdue(now_ms, timeout_ms, MIN_BODY_BYTES_PER_MS):
                 client.on_input_timeout()
 
-    def _sweep_overload(self, now_ms: float) -> None:
+    def _close_unused_under_overload(self, now_ms: float) -> None:
         """Under overload, close connections without a request early, so that new clients can connect."""
         excess = len(self.open_connections) - len(self._closing) - self.overload_threshold
         if excess <= 0:
             return
-        awaiting = _older_than(self._awaiting_request, now_ms, OVERLOAD_IDLE_MS)
+        awaiting = _in_table_longer_than(self._awaiting_request, now_ms, OVERLOAD_IDLE_MS)
         unused = [client for client in awaiting if not client.is_receiving]
-        unused += _older_than(self._idle, now_ms, OVERLOAD_IDLE_MS)
+        unused += _in_table_longer_than(self._idle, now_ms, OVERLOAD_IDLE_MS)
         for client in unused[:excess]:
             client.close_if_idle()
 
-    def _sweep_idle(self, now_ms: float) -> None:
+    def _close_expired_idle(self, now_ms: float) -> None:
+        """Close idle connections after IDLE_TIMEOUT_MS, and those beyond `max_idle` after MIN_IDLE_MS."""
         excess = len(self._idle) - self.max_idle
         if excess > 0:
-            expired = _older_than(self._idle, now_ms, MIN_IDLE_MS)[:excess]
+            expired = _in_table_longer_than(self._idle, now_ms, MIN_IDLE_MS)[:excess]
         else:
-            expired = _older_than(self._idle, now_ms, IDLE_TIMEOUT_MS)
+            expired = _in_table_longer_than(self._idle, now_ms, IDLE_TIMEOUT_MS)
         for client in expired:
             client.close_if_idle()
 
-    def _sweep_closing(self, now_ms: float, is_draining: bool) -> None:
-        for client in _older_than(self._closing, now_ms, LINGER_TIMEOUT_MS):
+    def _abort_expired_closing(self, now_ms: float, is_draining: bool) -> None:
+        """Abort closing connections after the linger timeout, which input from the client extends.
+
+        Input extends the timeout up to MAX_LINGER_MS in total, and not while the gateway drains.
+        """
+        for client in _in_table_longer_than(self._closing, now_ms, LINGER_TIMEOUT_MS):
             may_linger = now_ms - client.closing_since_ms < MAX_LINGER_MS and not is_draining
             if client.received_while_closing and may_linger:
                 client.received_while_closing = False
@@ -233,10 +250,11 @@
             else:
                 client.abort()
 
-    def _leave_tables(self, client: LimitedConnection) -> None:
+    def _remove_from_tables(self, client: LimitedConnection) -> None:
         for table in (self._awaiting_request, self._idle, self._closing):
             table.pop(client, None)
 
 
-def _older_than(table: ConnectionTimes, now_ms: float, age_ms: float) -> list[LimitedConnection]:
+def _in_table_longer_than(table: ConnectionTimes, now_ms: float, age_ms: float) -> list[LimitedConnection]:
+    """Return the connections that entered the table more than `age_ms` ago, oldest first."""
     return [client for client, since_ms in table.items() if now_ms - since_ms > age_ms]
--- a/gateway/network/clients/connection_state.py
+++ b/gateway/network/clients/connection_state.py
@@ -3,13 +3,13 @@
 | state      | meaning                                           | next states                              |
 | ---------- | ------------------------------------------------- | ---------------------------------------- |
 | IDLE       | nothing of the next request has been received     | RECEIVING                                |
-| RECEIVING  | a request is being received; it is open already   | RECEIVED, DISCARDING (early response),   |
-|            | if its body is large                              | PAUSED (rejected), IDLE (readiness)      |
+| RECEIVING  | a request is being received; if its body is       | RECEIVED, DISCARDING (early response),   |
+|            | large, the request is open before its end         | PAUSED (rejected), IDLE (readiness)      |
 | RECEIVED   | the open request is complete                      | IDLE (response complete), PIPELINED      |
 | PIPELINED  | the open request is complete, and bytes followed  | CLOSING (response complete)              |
 |            | it; they and all later bytes are discarded        |                                          |
-| DISCARDING | the response is sent; the rest of the request is  | IDLE (end of the request)                |
-|            | still being received, and is discarded            |                                          |
+| DISCARDING | the response is sent; the remaining bytes of the  | IDLE (end of the request)                |
+|            | request are still being received and discarded    |                                          |
 | PAUSED     | a request was rejected, and reading pauses        | IDLE (end of the pause)                  |
 | CLOSING    | the gateway or the client closes the connection   |                                          |
 
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -44,33 +44,33 @@
         """Write the end of a forwarded response whose parts have all been written."""
 
     def abort_response(self) -> None:
-        """Abort the connection during a forwarded response, so that the client detects the missing rest."""
+        """Abort the connection, so that the client detects that the forwarded response is incomplete."""
 
     def is_disconnected(self) -> bool:
         """Return whether the client has shut down its sending side."""
 
     def abort(self) -> None:
-        """Abort the connection without writing what is buffered."""
+        """Close the connection at once, and discard bytes that have not been written to the socket."""
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
     """An accepted request of a client, with the data from which its attempts are built."""
 
-    id: int  # unique among the requests of this process
+    id: int  # number of the request, unique in this process
     request_id: bytes  # the id that the client has chosen
     class_name: str
     client: ClientChannel
-    head: bytes  # of an attempt, up to the value of X-Deadline-Ms, which differs between attempts
+    head: bytes  # head of each attempt without the value of X-Deadline-Ms, which differs between attempts
     body: bytes  # empty if the body is in `upload`
     upload: Upload | None  # a large body, which is forwarded while it is received
     wait_ms: float  # time that the client waits for the response, from the last byte of the request on
     attempt_count: int = 0  # attempts started so far
     streaming_attempt: int | None = None  # number of the attempt whose response is being forwarded
-    guard_timer: Timer | None = None  # answers before the deadline if the controller does not
+    guard_timer: Timer | None = None  # sends a response before the deadline if the controller does not
 
     def attempt_message(self, deadline_ms: float) -> bytes:
-        """Return the bytes of an attempt, without a body that is in `upload`.
+        """Return the bytes of an attempt; a body that is in `upload` is not included.
 
         Args:
             deadline_ms: The time that remains for the attempt, in milliseconds; sent as X-Deadline-Ms.
--- a/gateway/network/clients/request_events.py
+++ b/gateway/network/clients/request_events.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LargeBodyStarted:
-    """The body of a request is too large to be buffered; the rest follows in BodyReceived events."""
+    """The body of a request is too large to be buffered; its remaining parts follow as BodyReceived."""
 
     method: bytes
     target: bytes
@@ -56,7 +56,7 @@
 class RequestRejected:
     """The received bytes are not an acceptable request; the reader ignores all later bytes."""
 
-    status: HTTPStatus  # of the error response
+    status: HTTPStatus  # the status of the error response
 
 
 RequestEvent = (
--- a/gateway/network/clients/request_reader.py
+++ b/gateway/network/clients/request_reader.py
@@ -22,7 +22,7 @@
 | REJECTED            | any                                         | REJECTED            |                  |
 
 RequestRejected is the last event that a call of `feed` returns. If a head repeats a recognized header field,
-the call first processes the rest of its bytes and then rejects the request, even if the head is still
+the call first processes its remaining bytes and then rejects the request, even if the head is still
 incomplete. If the completed head also fails another check, that check determines the status.
 """
 
@@ -49,11 +49,11 @@
 )
 from gateway.network.clients.upload import MAX_BUFFERED_BYTES
 
-# Upper bound of the head of a request, in bytes; also of the names and values of its header fields together
-# with its trailers.
+# Maximum size of the head of a request, in bytes. The names and values of all header fields and trailers of a
+# request together must not exceed this size either.
 MAX_HEAD_BYTES = 16 * 1024
 
-# Upper bound of the body of a request, in bytes.
+# Maximum size of the body of a request, in bytes.
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 # Bytes that a request may occupy on the wire, in addition to MAX_RAW_BYTES_PER_BODY_BYTE for each byte of its
@@ -64,10 +64,10 @@
 # chunk extensions, which do not count as body.
 MAX_RAW_BYTES_PER_BODY_BYTE = 8
 
-# Upper bound of the digits of Content-Length, which is checked before the conversion to an integer.
+# Maximum number of digits of Content-Length. It is checked before the conversion to an integer.
 MAX_CONTENT_LENGTH_DIGITS = 12
 
-# Characters around a header value that are not part of it.
+# Characters that are removed from both ends of a header value (optional whitespace in HTTP).
 OPTIONAL_WHITESPACE = b" \t"
 
 # The events without fields; one instance of each is used for all requests.
@@ -114,11 +114,11 @@
     """
 
     def __init__(self) -> None:
-        """Create the parser, and expect the first request."""
+        """Create a reader that expects the first request of a connection."""
         self._parser: _Parser = httptools.HttpRequestParser(self)
         self._events: list[RequestEvent] = []
         self._rejection: HTTPStatus | None = None
-        self.body_size = 0  # bytes of the current or last body received so far
+        self.body_size = 0  # bytes received so far of the current or most recent body
         self._start_message(_IDLE)
 
     def _start_message(self, state: ReaderState) -> None:
@@ -132,7 +132,7 @@
     # -- interface
 
     def feed(self, data: bytes) -> list[RequestEvent]:
-        """Parse bytes and return the events that they cause; after a rejection all bytes are ignored."""
+        """Parse bytes and return the resulting events; after a rejection, ignore all bytes."""
         if self.state is _REJECTED:
             return []
         try:
@@ -166,11 +166,15 @@
 
     @property
     def supports_chunks(self) -> bool:
-        """Whether the HTTP version of the client's request has the chunked transfer coding."""
+        """Whether the client accepts a chunked response, which HTTP versions before 1.1 lack."""
         return self._parser.get_http_version() == "1.1"
 
     def close(self) -> None:
-        """Release the parser, which refers to this reader, to break the reference cycle."""
+        """Release the parser; `feed` must not be called afterwards.
+
+        The parser refers to this reader. The reference cycle would keep both in memory until a garbage
+        collection.
+        """
         del self._parser
 
     # -- the parser's callbacks
@@ -187,7 +191,7 @@
             self._target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Store a recognized header field of the head; trailers are ignored, but their size is bounded."""
+        """Store a recognized header field of the head; ignore a trailer, but limit the size of all fields."""
         self._header_bytes += len(name) + len(value)
         if self.state is _HEAD:
             name = name.lower()
--- a/gateway/network/clients/request_validator.py
+++ b/gateway/network/clients/request_validator.py
@@ -16,13 +16,13 @@
 from gateway.interface.settings import Idempotency, RequestClass, Settings
 from gateway.network.clients import header_names
 
-# Exclusive upper bound of the customer numbers in X-Api-Key.
+# The customer numbers in X-Api-Key are less than this number.
 CUSTOMER_NUMBER_LIMIT = 1 << 33
 
-# Upper bound of the digits of an integer in a header field.
+# Maximum number of digits of an integer in a header field.
 MAX_INTEGER_DIGITS = 15
 
-# Upper bound of the bytes of a malformed value that an error text quotes.
+# Maximum number of bytes of a malformed value that an error text quotes.
 MAX_QUOTED_BYTES = 20
 
 # Number of distinct values of X-Call-Terms whose parsed form is cached.
@@ -38,9 +38,9 @@
 class CallTerms(NamedTuple):
     """The parsed value of X-Call-Terms."""
 
-    units: float  # that the request takes from the customer's quota
+    units: float  # units that the request takes from the customer's quota
     spread: int  # number of gateways that serve the customer
-    first_gateway: int  # number of the first of these gateways
+    first_gateway: int  # number of the first gateway that serves the customer
 
 
 class ValidatedRequest(NamedTuple):
@@ -50,7 +50,7 @@
     customer: str
     request_class: RequestClass
     plan: str
-    wait_ms: float  # time that the client waits for the response, at most the deadline of the class
+    wait_ms: float  # time in ms that the client waits for the response, at most the deadline of the class
     units: float
     spread: int
     first_gateway: int
@@ -62,10 +62,11 @@
     """Validates the method, target and header fields of requests."""
 
     def __init__(self, settings: Settings) -> None:
-        """Index the classes and plans of the settings by their names on the wire."""
+        """Accept the classes and plans of `settings`, and check numbers against its limits."""
         self._classes = {request_class.name.encode(): request_class for request_class in settings.classes}
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
-        # All requests of a customer have the same terms. The cache does not store errors.
+        # The parsed terms are cached, because all requests of a customer have equal terms. Malformed terms
+        # raise an error and are not cached.
         self._call_terms = functools.lru_cache(CALL_TERMS_CACHE_SIZE)(
             functools.partial(parse_call_terms, gateways=settings.gateways, max_units=settings.max_units)
         )
@@ -138,7 +139,10 @@
 
 
 def _parse_idempotency_key(request_class: RequestClass, headers: Mapping[bytes, bytes]) -> bytes | None:
-    """Return the idempotency key, which is required by classes with a key and not accepted by others."""
+    """Return the idempotency key, or None if the class does not accept one.
+
+    Raises BadRequestError if a required key is missing or malformed, or if a key is not accepted.
+    """
     key = headers.get(header_names.IDEMPOTENCY_KEY)
     if request_class.idempotency is Idempotency.WITH_KEY:
         if key is None or not _IDEMPOTENCY_KEY_PATTERN.fullmatch(key):
@@ -171,7 +175,7 @@
 
 
 def parse_call_terms(text: bytes, *, gateways: int, max_units: float) -> CallTerms:
-    """Parse the value of X-Call-Terms, which may also have terms of other names.
+    """Parse the value of X-Call-Terms, and ignore terms with unknown names.
 
     Args:
         text: The value of the header field.
@@ -206,7 +210,7 @@
     """Parse an integer of at most MAX_INTEGER_DIGITS decimal digits, without a sign.
 
     Raises:
-        BadRequestError: The text has another form, or the number is not from `minimum` to `maximum`.
+        BadRequestError: The text is not such an integer, or the integer is not from `minimum` to `maximum`.
     """
     if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS or not minimum <= int(text) <= maximum:
         raise BadRequestError(f"{text[:MAX_QUOTED_BYTES]!r} is not an integer from {minimum} to {maximum}")
--- a/gateway/network/clients/upload.py
+++ b/gateway/network/clients/upload.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-# Upper bound of the bytes of a request body that are buffered. A body within it is buffered until it is
-# complete; a larger one is forwarded while it is received, and is buffered only until an endpoint is
+# Maximum number of bytes of a request body that are buffered. A body of at most this size is buffered until
+# it is complete. A larger body is forwarded while it is received, and buffered only until an endpoint is
 # connected.
 MAX_BUFFERED_BYTES = 256 * 1024
 
@@ -50,7 +50,7 @@
         """Buffer the part of the body received so far.
 
         Args:
-            client: The connection from which the rest of the body is received.
+            client: The connection from which the remaining parts of the body are received.
             length: The length of the body in bytes, None for a chunked body.
             first_part: The bytes received so far, which may be empty.
         """
@@ -59,7 +59,7 @@
         self._parts = [first_part] if first_part else []
         self._buffered_bytes = len(first_part)
         self._sink: BodySink | None = None  # None until forwarding starts
-        self.is_complete = False  # whether the whole body has been received
+        self.is_complete = False  # whether the last byte of the body has been received
         # The header field that gives the length or the coding of the body.
         self.framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
 
@@ -90,7 +90,7 @@
             self._sink.write_last(LAST_CHUNK if self._chunked else b"")
 
     def start_forwarding(self, sink: BodySink, head: bytes) -> None:
-        """Write the head and the buffered parts to an endpoint connection, and all later parts as well."""
+        """Write the head and the buffered parts to an endpoint connection, and forward later parts to it."""
         data = head + b"".join(map(self._framed, self._parts))
         self._parts.clear()
         self._sink = sink
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -16,37 +16,40 @@
 from gateway.network.gateway import Gateway
 from gateway.network.hot_restart.coordinator import HotRestart
 
-# Maximum time in seconds that the start waits for an endpoint list from discovery. After that the process
-# serves with the list in its configuration.
+# Maximum time in seconds that the start of the process waits for an endpoint list from discovery. After that
+# time the process serves with the endpoint list in its configuration.
 FIRST_LIST_TIMEOUT_S = 0.5
 
-# The platform waits at least a grace period after SIGTERM before it sends SIGKILL. The grace period is the
-# longest deadline of all classes, but at most this many seconds, plus GRACE_PERIOD_EXTRA_S.
-MAX_GRACE_PERIOD_DEADLINE_S = 3.0
+# To stop a process, the platform sends SIGTERM, waits at least for the grace period, and then sends SIGKILL.
+# The grace period is the longest deadline of all request classes plus GRACE_PERIOD_ALLOWANCE_S. A longest
+# deadline above this many seconds counts as this value.
+MAX_DEADLINE_IN_GRACE_PERIOD_S = 3.0
 
-# Seconds that the platform adds to the longest deadline for the grace period between SIGTERM and SIGKILL.
-GRACE_PERIOD_EXTRA_S = 0.7
+# Seconds by which the grace period, the guaranteed time between SIGTERM and SIGKILL, is longer than the
+# longest deadline of all request classes.
+GRACE_PERIOD_ALLOWANCE_S = 0.7
 
-# The planned end of the shutdown is this many seconds before the end of the grace period, when SIGKILL may
-# come.
+# The shutdown after SIGTERM is planned to end this many seconds before the platform may send SIGKILL.
 SHUTDOWN_MARGIN_S = 0.5
 
-# The process starts to close connections after their responses (drains) this many seconds before the planned
-# end of the shutdown.
-DRAINING_TIME_S = 1.0
+# A process that shuts down starts to drain this many seconds before the planned end of its shutdown. While it
+# drains, it accepts no new connections and closes each open connection after its current response.
+PLANNED_DRAINING_TIME_S = 1.0
 
-# Minimum time in seconds for which new connections are accepted after SIGTERM, even if the planned end of the
-# shutdown would require draining earlier.
+# Minimum time in seconds for which a process accepts new connections after SIGTERM, unless a successor has
+# taken over. It applies even if draining then starts too late for the planned end of the shutdown.
 MIN_SERVICE_AFTER_SIGTERM_S = 0.6
 
-# Maximum time in seconds that the shutdown waits for open requests and connections after it has started to
-# drain. Each request ends earlier by its guard timer or its stall timeout; this is a last resort.
+# Maximum time in seconds for which a draining process waits for its open requests and connections. Normally
+# each request ends much earlier by its guard timer or its stall timeout. If one of them fails, this limit
+# ends the process.
 DRAINING_TIMEOUT_S = 600.0
 
-# Interval in seconds at which the shutdown checks whether requests or connections are still open.
+# Interval in seconds at which a process that shuts down checks whether requests or connections are still
+# open.
 POLL_INTERVAL_S = 0.02
 
-# Signals that the process handles. They are blocked once the event loop is about to remove their handlers.
+# Signals that the process handles. They are blocked before the event loop removes their handlers.
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
 log = logging.getLogger("gateway")
@@ -127,9 +130,9 @@
         self._gateway.gossip_socket.close()
         self._hot_restart.close_links()
         self._admin.close()
-        # The event loop removes its signal handlers when it closes, and a signal after that would kill the
-        # process, which would then not exit with code 0. The signals are blocked for this reason. The mask
-        # covers only the calling thread, which is the last one once the executor has been shut down.
+        # The event loop removes its signal handlers when it closes. A later signal would kill the process,
+        # which would then not exit with code 0, so the signals are blocked first. The signal mask covers only
+        # the calling thread. It is the only thread left once the executor has been shut down.
         await self._loop.shutdown_default_executor()
         signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
         log.info("gateway %s: shutdown complete", self._config.name)
@@ -149,15 +152,17 @@
         """Keep serving after SIGTERM until draining has to begin.
 
         Clients still open new connections, and peers still depend on this gateway as a quota leader. The wait
-        ends early if a successor serves and no work is open here.
+        ends early if a successor serves and this process has no open request or client connection.
         """
         longest_deadline_s = (
             max(request_class.deadline_ms for request_class in self._config.settings.classes) / 1000
         )
-        grace_period_s = min(longest_deadline_s, MAX_GRACE_PERIOD_DEADLINE_S) + GRACE_PERIOD_EXTRA_S
+        grace_period_s = min(longest_deadline_s, MAX_DEADLINE_IN_GRACE_PERIOD_S) + GRACE_PERIOD_ALLOWANCE_S
         time_left_s = grace_period_s - SHUTDOWN_MARGIN_S
         self._gateway.begin_shutdown(time_left_s * 1000)
-        draining_at_s = self._loop.time() + max(MIN_SERVICE_AFTER_SIGTERM_S, time_left_s - DRAINING_TIME_S)
+        draining_at_s = self._loop.time() + max(
+            MIN_SERVICE_AFTER_SIGTERM_S, time_left_s - PLANNED_DRAINING_TIME_S
+        )
         while self._loop.time() < draining_at_s and self._has_to_serve():
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -178,7 +183,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _reload_on_requests(self) -> None:
-        """Reload the configuration on each SIGHUP; an invalid configuration is logged and changes nothing."""
+        """Reload the configuration after each SIGHUP; log an invalid one and keep the current one."""
         while True:
             await self._reload_requested.wait()
             # Cleared before the file is read, so that a SIGHUP during the read causes another reload.
@@ -191,7 +196,10 @@
                 self._apply_reloaded(config)
 
     def _apply_reloaded(self, config: Config) -> None:
-        """Use the discovery address of the reloaded configuration; everything else needs a restart."""
+        """Use the discovery address of a reloaded configuration; log a warning if other values differ.
+
+        The other values take effect only after a restart of the process.
+        """
         log.info("configuration reloaded: discovery at %s:%d", *config.discovery)
         if self._differs_beyond_discovery(config):
             log.warning(
@@ -200,8 +208,8 @@
         self._endpoint_watch.set_address(config.discovery)
 
     def _differs_beyond_discovery(self, config: Config) -> bool:
-        # The seed and the configured endpoint list matter at the start only, so changes of them are not
-        # reported.
+        # The seed and the configured endpoint list are used only when a process starts, so a change of either
+        # does not count as a difference.
         current = self._config
         return (
             replace(
