--- a/gateway/network/admin/endpoint.py
+++ b/gateway/network/admin/endpoint.py
@@ -110,9 +110,10 @@
         return handler()
 
     def add_connection(self, connection: AdminConnection) -> None:
-        """Add a connection.
+        """Register a new connection, and abort another one if MAX_ADMIN_CONNECTIONS are open.
 
-        If MAX_ADMIN_CONNECTIONS are open, aborts the oldest answered connection, or else the oldest one.
+        The oldest connection that has been answered is aborted. If there is none, the oldest connection is
+        aborted.
         """
         while len(self.connections) >= MAX_ADMIN_CONNECTIONS:
             answered = (candidate for candidate in self.connections if candidate.is_answered)
@@ -120,7 +121,7 @@
         self.connections[connection] = None
 
     def remove_connection(self, connection: AdminConnection) -> None:
-        """Remove a closed or aborted connection; do nothing if it has been removed already."""
+        """Remove a closed or aborted connection; has no effect if it is not registered any more."""
         self.connections.pop(connection, None)
 
     def _respond_readiness(self) -> AdminResponse:
@@ -169,12 +170,13 @@
             self._respond(AdminResponse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE))
 
     def eof_received(self) -> None:
-        """Return None, so that the transport closes: the rest of an incomplete request cannot arrive."""
+        """Return None, so that the transport closes: an incomplete request cannot be completed any more."""
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Unregister the connection, and release the parser.
 
-        The parser refers back to this connection; the cycle would stay in memory until a garbage collection.
+        The parser and this connection refer to each other. Both would stay in memory until a garbage
+        collection.
         """
         self._parser = None
         self.is_answered = True
@@ -183,7 +185,7 @@
     # -- the parser's callbacks
 
     def on_url(self, url: bytes) -> None:
-        """Append a part of the request target, which may arrive in several."""
+        """Append a part of the request target, which may arrive in several parts."""
         self._url += url
 
     def on_message_complete(self) -> None:
--- a/gateway/network/admin/metrics.py
+++ b/gateway/network/admin/metrics.py
@@ -16,7 +16,7 @@
 
 
 class FinalStatus(Enum):
-    """How a request ended; the values are those of the label `status`."""
+    """The way in which a request ended; the values are written as the label `status`."""
 
     FULFILLED = "fulfilled"
     THROTTLED = "throttled"
@@ -28,12 +28,12 @@
 
     def __init__(self, class_names: Iterable[str]) -> None:
         """Create the counters for requests of the classes `class_names`."""
-        # Number of requests with a final answer, by class and final status.
+        # Number of requests that have received their final response, by class and final status.
         self.operations = {(name, status): 0 for name in class_names for status in FinalStatus}
         self.forwarded_attempts = 0  # number of attempts written completely to an endpoint
 
     def on_final_answer(self, class_name: str, status: FinalStatus) -> None:
-        """Count a request of the class that got its final answer."""
+        """Count a request of the class that has received its final response."""
         self.operations[class_name, status] += 1
 
     def text(self, *, open_requests: int, registry_entries: int, out_of_rotation: int) -> bytes:
--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -60,7 +60,8 @@
     def on_request_completed(self, request: OpenRequest, timeout_ms: float) -> None:
         """Start the timeouts of the attempts of a request whose last byte has just been received.
 
-        Their latency is measured from now on, so it excludes the time that the client took for the upload.
+        The latency of the attempts is measured from now on. It excludes the time that the client took for the
+        upload.
         """
         now_ms = self._clock.now()
         for attempt in self._attempts.of_request(request):
@@ -103,7 +104,7 @@
             return None
         request.streaming_attempt = attempt.number
         attempt.on_forwarding_started(self._clock.now())
-        # From now on stall detection limits the response in place of the deadline.
+        # From now on the duration of the response is limited by stall detection and not by the deadline.
         if request.guard_timer is not None:
             request.guard_timer.cancel()
         request.client.start_response(source, length, content_type)
--- a/gateway/network/attempt_table.py
+++ b/gateway/network/attempt_table.py
@@ -1,4 +1,4 @@
-"""The table of attempts in flight, including those of requests that have been closed."""
+"""The table of attempts in flight, including the attempts of requests that have been closed."""
 
 from __future__ import annotations
 
--- a/gateway/network/bound_socket.py
+++ b/gateway/network/bound_socket.py
@@ -10,13 +10,13 @@
 def bind_socket(socket_type: socket.SocketKind, address: Address, *, reuse_port: bool) -> socket.socket:
     """Return a non-blocking IPv4 socket that is bound to the address.
 
-    With `reuse_port`, sockets of other processes may be bound to the same address (SO_REUSEPORT).
+    If `reuse_port` is set, other processes can bind sockets to the address as well (SO_REUSEPORT).
     Raises OSError if the address cannot be used.
     """
     sock = socket.socket(socket.AF_INET, socket_type)
     try:
         sock.setblocking(False)
-        # Not set on a datagram socket: SO_REUSEADDR would let any other process on this machine bind the same
+        # SO_REUSEADDR is not set on a datagram socket: any other process on this machine could then bind the
         # address and receive the datagrams.
         if socket_type is socket.SOCK_STREAM:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/gateway/network/clients/request_reader.py
+++ b/gateway/network/clients/request_reader.py
@@ -166,7 +166,7 @@
 
     @property
     def supports_chunks(self) -> bool:
-        """Whether the client accepts a chunked response, which HTTP versions before 1.1 lack."""
+        """Whether the client can receive a chunked response: the HTTP version of its request is 1.1."""
         return self._parser.get_http_version() == "1.1"
 
     def close(self) -> None:
--- a/gateway/network/clock.py
+++ b/gateway/network/clock.py
@@ -13,7 +13,7 @@
     """Unix time in milliseconds that never goes backward, even if the system clock is changed."""
 
     def __init__(self) -> None:
-        """Read the system clock; later changes of it have no effect."""
+        """Read the system clock; later changes of the system clock have no effect."""
         self._base_ms = time.time() * 1000 - time.monotonic() * 1000
 
     def now(self) -> float:
--- a/gateway/network/controller_loop.py
+++ b/gateway/network/controller_loop.py
@@ -25,7 +25,8 @@
 from gateway.network.clock import Clock
 from gateway.policy.controller import Controller
 
-# Milliseconds between two log entries for errors of the controller; errors in between are not logged.
+# Minimum time in milliseconds between two log lines for errors of the controller. Errors in between are not
+# logged.
 ERROR_LOG_INTERVAL_MS = 10_000.0
 
 log = logging.getLogger(__name__)
--- a/gateway/network/descriptor_limits.py
+++ b/gateway/network/descriptor_limits.py
@@ -16,8 +16,8 @@
 def shareable_descriptors(descriptors: int) -> int:
     """Return the number of descriptors to which the fractions for clients and endpoints apply.
 
-    It is chosen so that RESERVED_DESCRIPTORS remain free when clients and endpoints use all of their
-    fractions, and is at most `descriptors`.
+    The number is at most `descriptors`. RESERVED_DESCRIPTORS remain free when the connections to clients and
+    endpoints use their fractions completely.
 
     Args:
         descriptors: The number of descriptors that the process may use.
--- a/gateway/network/discovery/backoff.py
+++ b/gateway/network/discovery/backoff.py
@@ -4,9 +4,9 @@
 
 import random
 
-# Maximum time in seconds until the gateway knows a change of the endpoint list, counted from when discovery
-# has the change and is reachable. It limits the sum of three times: the part of a failed call for which
-# discovery may have been reachable, the delay after this call, and the next call.
+# Maximum time in seconds from the moment when discovery has a change of the endpoint list and is reachable,
+# to the moment when the gateway knows the change. It limits the sum of three times: the part of a failed call
+# for which discovery may have been reachable, the delay after this call, and the duration of the next call.
 MAX_LIST_STALENESS_S = 5.7
 CALL_TIMEOUT_S = 2.2  # timeout in seconds of a call that does not wait for a change
 # Milliseconds for which a watch waits for a change, in a fleet of at most SMALL_FLEET_SIZE gateways.
@@ -24,7 +24,8 @@
 # Seconds per gateway that replace SPREAD_PER_GATEWAY_S until a call has succeeded. The value doubles with
 # each failure. It starts smaller because the configured endpoint list may be outdated.
 INITIAL_SPREAD_PER_GATEWAY_S = 0.25
-# Fraction of the spread interval before which neither the second nor a later retry after a success is made.
+# Fraction of the spread interval that elapses before a retry, except for the first retry after a successful
+# call.
 MIN_RETRY_JITTER = 0.8
 
 
@@ -33,8 +34,8 @@
 
     A shared discovery service processes one call at a time and rejects calls that have waited too long. A
     rejection costs the service as much as a response. If a fleet makes calls faster than the service
-    responds, all calls fail until the rate drops, so gateways spread their retries. An agent on the gateway's
-    own machine has no other caller, so longer delays would only make the endpoint list older.
+    responds, all calls fail until the rate drops. For this reason gateways spread their retries. An agent on
+    the machine of the gateway has no other caller: longer delays would only make the endpoint list older.
 
     The first retry after a success is made at a random time in the spread interval. Later retries are made
     near the end of the interval, which keeps the gateways apart with the fewest calls.
--- a/gateway/network/discovery/client.py
+++ b/gateway/network/discovery/client.py
@@ -52,7 +52,7 @@
         """Create an unconnected client; the first call connects to the address."""
         self._address = address
         self._connection: _Connection | None = None
-        self._is_skip_logged = False  # whether an invalid entry has been logged
+        self._is_skip_logged = False  # whether a skipped invalid entry has been logged
 
     def set_address(self, address: Address) -> None:
         """Set the address of future connections; the open connection is still used until it is closed."""
--- a/gateway/network/discovery/drain_memory.py
+++ b/gateway/network/discovery/drain_memory.py
@@ -1,4 +1,4 @@
-"""A record of draining and removed endpoints that protects it against outdated snapshots."""
+"""A record of draining and removed endpoints, which keeps outdated snapshots from making them ready again."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 from gateway.config import EndpointEntry, EndpointList
 from gateway.interface.events import EndpointState
 
-WITHDRAWAL_RETENTION_S = 120.0  # seconds for which the withdrawal of an endpoint is recorded
+# Seconds after which the record of an endpoint's withdrawal (draining, removed or no longer listed) is
+# deleted.
+WITHDRAWAL_RETENTION_S = 120.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,9 +31,8 @@
     def __init__(self, newest_index: int) -> None:
         """Create an empty record; `newest_index` is the highest known index of the endpoint list."""
         self._newest_index = newest_index  # highest index of all received lists, independent of the address
-        self._ready: dict[
-            str, float
-        ] = {}  # start time in milliseconds of each ready endpoint, by endpoint id
+        # Unix time in milliseconds at which each ready endpoint started, by endpoint id.
+        self._ready: dict[str, float] = {}
         self._withdrawn: dict[str, _Withdrawal] = {}  # by endpoint id
 
     def reconcile(self, endpoint_list: EndpointList, now_s: float) -> EndpointList:
--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -25,12 +25,14 @@
 from gateway.network.discovery.drain_memory import DrainMemory
 
 ENDPOINT_LIST_PATH = "/discovery/hosts"  # the path of the endpoint list
-# Milliseconds for which the first watch and the first watch after a failure wait for a change. If discovery
-# is unresponsive, a longer watch would detect it later.
+# Milliseconds for which discovery may wait for a change during the first watch and during the first watch
+# after a failure. An unresponsive discovery would be detected later by a longer watch.
 SHORT_WATCH_TIMEOUT_MS = 1
-# Seconds beyond the time for which a watch waits for a change after which a missing response is a failure.
+# Seconds that a watch waits for its response after the time for which discovery may wait for a change. A
+# response that is still missing then counts as a failure.
 WATCH_GRACE_S = 1.0
-# Delay in seconds after a watch that ends without a change in less than this time; it limits the call rate.
+# Minimum duration in seconds of a watch that ends without a change. After a shorter one, the gateway waits
+# this long before the next call. This limits the rate of calls to a discovery that does not wait for changes.
 MIN_WATCH_INTERVAL_S = 0.05
 RESTART_DELAY_S = 0.5  # delay in seconds before the watch is restarted after an internal error
 # Maximum backoff for pushed lists as a fraction of the drain grace period. The gateway has to know that an
@@ -43,9 +45,9 @@
 class EndpointWatch:
     """A watch of discovery's endpoint list that reports snapshots and incremental updates.
 
-    Pushed lists come from an agent on the gateway's own machine, which responds immediately and at no cost.
-    Polled lists come from a service that all gateways of the fleet share. A rejection for overload shows that
-    an address assumed to be an agent is shared as well.
+    Pushed lists come from an agent on the machine of the gateway, which responds immediately and at no cost.
+    Polled lists come from a service that all gateways of the fleet share. If an assumed agent rejects a call
+    because of overload, it is shared by the fleet as well.
     """
 
     def __init__(
@@ -81,7 +83,7 @@
         )
         self._client = DiscoveryClient(address)
         self._drain_memory = DrainMemory(known_index or 0)
-        self._is_failure_logged = False  # whether a failure has been logged since the last successful call
+        self._is_failure_logged = False  # True after a logged failure, until a call succeeds
         # Whether the previous call failed for a reason other than a timeout.
         self._was_last_call_rejected = False
         self._address_changed = asyncio.Event()
@@ -110,7 +112,7 @@
                 await asyncio.sleep(RESTART_DELAY_S)
 
     async def _watch_until_address_changes(self) -> BaseException | None:
-        """Watch until the address changes, then cancel the connection attempt, call or delay in progress.
+        """Watch until the address changes or the watch fails; cancel a call or delay that is in progress.
 
         Returns the error with which the watch ended, if any.
         """
@@ -203,11 +205,12 @@
         return self._backoff.next_delay_s(reachable_s)
 
     def _may_have_been_reachable(self, elapsed_s: float) -> bool:
-        """Return whether discovery is assumed reachable since the start of a call that did not time out.
+        """Return whether discovery may have been reachable since the start of a failed call.
 
-        If so, the next call is made earlier. This gains nothing if the previous call was rejected as well.
-        It does not apply to a call longer than CALL_TIMEOUT_S either: only a watch lasts that long, and its
-        failure shows when discovery became unreachable.
+        The call has failed for a reason other than a timeout. If True is returned, the next call is made
+        earlier. The result is False in two cases. If the previous call was rejected as well, an earlier call
+        gains nothing. If the call took longer than CALL_TIMEOUT_S, it was a watch, and its failure shows when
+        discovery became unreachable.
         """
         return not self._was_last_call_rejected and elapsed_s <= CALL_TIMEOUT_S
 
@@ -215,6 +218,7 @@
 def _max_backoff_s(drain_grace_s: float) -> float:
     """Return the maximum backoff in seconds for pushed lists.
 
-    The drain grace period of an endpoint elapses whether or not the gateway has received the list.
+    It is a fraction of the drain grace period, because this period elapses even while the gateway does not
+    know that the endpoint is draining.
     """
     return max(INITIAL_BACKOFF_S, min(MAX_BACKOFF_S, drain_grace_s * MAX_DRAIN_GRACE_FRACTION))
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -74,7 +74,7 @@
             self.clock,
             self.timers,
             self.metrics,
-            idle_ms=self.config.endpoint_idle_timeout_ms,
+            endpoint_idle_timeout_ms=self.config.endpoint_idle_timeout_ms,
             connect_timeout_ms=self.config.connect_timeout_ms,
             max_connections=max_upstream_connections(self.config.max_descriptors),
             report_fields=self.config.settings.report_fields,
@@ -106,7 +106,10 @@
         self.controller_loop.enqueue(EndpointUpdate(tuple(endpoints), endpoint_list.is_snapshot))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
-        """Report a peer's datagram, and forward it to the predecessor, whose open requests it may concern."""
+        """Report a peer's datagram, and forward it to the predecessor, if one still runs.
+
+        The datagram may concern requests that are open in the predecessor.
+        """
         self.controller_loop.enqueue(GossipReceived(sender, data))
         predecessor = self.role.predecessor
         if predecessor is not None:
@@ -205,13 +208,16 @@
         self._limit_descriptors(descriptors)
 
     def on_predecessor_ended(self) -> None:
-        """Use all descriptors of the limit, because the predecessor has released those that it held."""
+        """Use all descriptors of the configured limit, because the predecessor has released its own."""
         self.role.on_predecessor_ended()
         hot_restart.on_predecessor_ended(self.controller_loop.controller)
         self._limit_descriptors(self.config.max_descriptors)
 
     def on_successor_ended(self) -> bool:
-        """Serve again after the end of the successor, unless shutting down; return whether it serves."""
+        """Resume service after the end of the successor, unless this process is shutting down.
+
+        Returns whether this process serves again.
+        """
         self.role.on_successor_ended()
         if not self.role.is_ready:
             return False
--- a/gateway/network/gossip_socket.py
+++ b/gateway/network/gossip_socket.py
@@ -62,14 +62,15 @@
             self._loop.add_reader(self._socket, self._receive, self._socket)
 
     def stop_receiving(self) -> None:
-        """Leave all datagrams to another process with the same socket; sending still works."""
+        """Stop receiving, so that another process with this socket gets all datagrams; sending goes on."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
 
     def send(self, receiver: int, data: bytes) -> None:
         """Send a datagram to the gateway with number `receiver`, or to all peers with ALL_PEERS.
 
-        The datagram may be lost without an error. One above the maximum size is logged and not sent.
+        The datagram may be lost without an error. A datagram of more than MAX_DATAGRAM_BYTES is not sent, and
+        an error is logged.
         """
         if self._socket is None:
             return
--- a/gateway/network/hot_restart/client_listener.py
+++ b/gateway/network/hot_restart/client_listener.py
@@ -29,8 +29,8 @@
     ) -> None:
         """Open nothing yet; accepted connections are served by `handler`.
 
-        `shares_address` binds a new socket with SO_REUSEPORT, so that another process may bind the same
-        address.
+        If `shares_address` is set, a new socket is bound with SO_REUSEPORT, so that other processes can bind
+        `address` as well.
         """
         self._loop = loop
         self._handler = handler
@@ -83,7 +83,7 @@
         )
 
     async def accept_queued_connections(self) -> None:
-        """Accept and serve the connections in the accept queue, which closing the socket would reset."""
+        """Accept and serve the connections in the accept queue, which would be reset if the socket closed."""
         if self._socket is None:
             return
         for _ in range(ACCEPT_BACKLOG):
--- a/gateway/network/hot_restart/packet_link.py
+++ b/gateway/network/hot_restart/packet_link.py
@@ -16,15 +16,15 @@
 from enum import Enum
 from typing import Protocol
 
-# Maximum size of a received packet, in bytes: the buffer size of one read. The kernel truncates a longer
-# packet.
+# Maximum size of a received packet, in bytes. It is the size of the buffer of one read; the kernel truncates
+# a longer packet.
 MAX_PACKET_BYTES = 64 * 1024
 
 # Maximum number of file descriptors received with one packet.
 MAX_PACKET_DESCRIPTORS = 4
 
-# Maximum number of packets in the send queue of a link to which a datagram is still added. Beyond it
-# datagrams are dropped, which may be lost anyway; the packets of a handover are queued without a limit.
+# Number of packets in the send queue of a link from which on further gossip datagrams are dropped. Datagrams
+# may be lost in any case. The packets of a handover must not be lost, and are queued without a limit.
 MAX_QUEUED_PACKETS = 1024
 
 # Header of a GOSSIP payload: the number of the gateway that sent the datagram, unsigned 16-bit little-endian.
@@ -92,7 +92,7 @@
         """Handle a received packet, whose descriptors the listener now owns."""
 
     def on_link_closed(self, link: PacketLink) -> None:
-        """Handle the end of the link, which is called once, whichever process closed the link."""
+        """Handle the end of the link; called exactly once, whichever process has closed the link."""
 
 
 class PacketLink:
@@ -126,7 +126,7 @@
     def close(self) -> None:
         """Close the socket and the descriptors of queued packets, and notify the listener.
 
-        Does nothing if the link is closed already.
+        Has no effect if the link is closed.
         """
         if self._is_closed:
             return
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -14,8 +14,8 @@
 from gateway.network.hot_restart.packet_link import Packet, PacketLink, PacketType, decode_gossip
 from gateway.network.hot_restart.socket_file import SocketFile
 
-# Maximum number of bytes of the encoded state in one STATE packet. It is below the buffer size with which the
-# successor reads a packet (MAX_PACKET_BYTES).
+# Maximum number of bytes of the encoded state in one STATE packet. The packet fits into the buffer into which
+# the successor reads it (MAX_PACKET_BYTES).
 STATE_CHUNK_BYTES = 32 * 1024
 
 log = logging.getLogger(__name__)
@@ -59,7 +59,7 @@
         self._gateway.loop.add_reader(sock, self._accept_link, sock)
 
     def stop_listening(self) -> None:
-        """Accept no more links; the socket file stays until the next process replaces it."""
+        """Stop listening for successors; the socket file remains until the next process replaces it."""
         if self._listening_socket is not None:
             self._gateway.loop.remove_reader(self._listening_socket)
             self._listening_socket.close()
@@ -73,10 +73,10 @@
             link.close()
 
     def on_packet(self, link: PacketLink, packet: Packet) -> None:
-        """Hand over on TAKE_OVER, and pass on the datagrams that the successor forwards.
+        """Hand over on TAKE_OVER; report the gossip datagrams that the successor forwards.
 
-        If this process is not ready (it is starting, shutting down, or has handed over already), it closes
-        the link, so that the requesting process does not wait for a state that never comes.
+        If this process is not ready (it is starting, shutting down, or has handed over), it answers TAKE_OVER
+        by closing the link, so that the requesting process does not wait for a state that is never sent.
         """
         packet.close_descriptors()
         if packet.type is PacketType.TAKE_OVER and self._gateway.is_ready:
@@ -149,8 +149,8 @@
     def hand_over(self, client: LimitedConnection) -> None:
         """Send the client's idle connection to the successor, and close it in this process.
 
-        This process stops reading the connection first, so that anything the client sends from now on stays
-        in the socket's receive buffer for the successor.
+        This process stops reading from the connection first. Bytes that the client sends from now on stay in
+        the receive buffer of the socket until the successor reads them.
         """
         transport = client.transport
         if transport is None:
--- a/gateway/network/hot_restart/socket_file.py
+++ b/gateway/network/hot_restart/socket_file.py
@@ -17,7 +17,7 @@
 
 
 class SocketFile:
-    """The socket file of a gateway; all its processes use the same file."""
+    """The socket file of a gateway, which is shared by all processes of the gateway."""
 
     def __init__(self, folder: str, listen: Address) -> None:
         """Derive the name of the file in `folder` from the gateway's address; create nothing yet."""
@@ -59,7 +59,7 @@
 
     @contextlib.contextmanager
     def _path(self) -> Iterator[str]:
-        """Provide a short path to the file through /proc, as a socket's path is limited to 107 bytes."""
+        """Provide a short path to the file through /proc, because a socket's path is limited to 107 bytes."""
         folder = os.open(self._folder, os.O_PATH | os.O_DIRECTORY)
         try:
             yield f"/proc/self/fd/{folder}/{self._name}"
--- a/gateway/network/hot_restart/successor.py
+++ b/gateway/network/hot_restart/successor.py
@@ -13,8 +13,9 @@
 from gateway.network.hot_restart.packet_link import Packet, PacketLink, PacketType, decode_gossip
 from gateway.network.hot_restart.socket_file import SocketFile
 
-# While the predecessor runs, the successor uses only the descriptors within the configured limit that the
-# predecessor does not hold, but at least this many, so that it can serve beside any predecessor.
+# Minimum number of file descriptors that a successor may use while its predecessor runs. Otherwise the
+# successor uses the descriptors of the configured limit that the predecessor does not hold. The minimum lets
+# it serve even if the predecessor holds nearly all of them.
 MIN_INITIAL_DESCRIPTORS = 64
 
 
@@ -99,14 +100,15 @@
             )
 
     def abort(self) -> None:
-        """Close the link to a predecessor that has not handed over."""
+        """Close the link to a predecessor after a failed takeover."""
         if self._predecessor is not None:
             self._predecessor.close()
 
     def _finish_takeover(self, link: PacketLink, takeover: asyncio.Future[None], packet: Packet) -> None:
         try:
             self._restore(link, packet)
-        except Exception as error:  # an invalid state, as of another version, must not prevent the start
+        except Exception as error:
+            # An invalid state, for example from another version of the gateway, must not prevent the start.
             takeover.set_exception(HandoverError(f"the predecessor's state cannot be restored: {error!r}"))
             return
         self._encoded_state.clear()
--- a/gateway/network/process_role.py
+++ b/gateway/network/process_role.py
@@ -19,7 +19,7 @@
 
 
 class SiblingLink(Protocol):
-    """The link to a sibling: the predecessor or the successor of this process, of the same gateway."""
+    """The link to a sibling process of the gateway, which is the predecessor or the successor."""
 
     def send_gossip(self, sender: int, data: bytes) -> None:
         """Forward a datagram from the gateway with number `sender`; it may be lost, like any datagram."""
@@ -95,7 +95,7 @@
 
     @property
     def sibling(self) -> SiblingLink | None:
-        """The link for datagrams that this gateway addresses to itself, or None if no other process runs."""
+        """The link for datagrams that this gateway addresses to itself; None without another process."""
         if isinstance(self._role, Retired):
             return self._role.gossip_link
         return self.predecessor
--- a/gateway/network/recent_ids.py
+++ b/gateway/network/recent_ids.py
@@ -40,9 +40,9 @@
         self._ended = set()
 
     def to_strings(self) -> list[str]:
-        """Return all ids as strings, for the state that is transferred to the successor."""
+        """Return all ids as strings, in no particular order, for the transfer to the successor."""
         return [request_id.decode() for request_id in self._open | self._ended | self._ended_before_rotation]
 
     def restore(self, request_ids: Iterable[str]) -> None:
-        """Add ids that the predecessor has transferred, as ids of requests that have just ended."""
+        """Add the ids that the predecessor has transferred, as if their requests had just ended."""
         self._ended.update(request_id.encode() for request_id in request_ids)
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -16,12 +16,12 @@
 from gateway.network.controller_loop import EventSink
 from gateway.network.recent_ids import RecentIds
 
-# Milliseconds by which the deadline that the controller works with is earlier than the client's deadline. The
-# margin covers the transmission of the response and the delay of timers.
+# Milliseconds by which the deadline that the controller receives is earlier than the client's deadline. The
+# time in between is for the transmission of the response and the delay of timers.
 DEADLINE_MARGIN_MS = 20.0
 
-# Milliseconds before the client's deadline at which the guard timer sends a response. It does so if the
-# request is still open then, for example because the controller has failed.
+# Milliseconds before the client's deadline at which the guard timer of a request expires. It sends a response
+# if the request is still open at that time, for example because the controller has failed.
 GUARD_MARGIN_MS = 5.0
 
 # Milliseconds between rotations of the recently used request ids. The id of an ended request is rejected for
@@ -191,7 +191,7 @@
     # -- periodic tasks
 
     def rotate_ids(self) -> None:
-        """Remove the ids of requests that ended before the previous rotation; schedule the next one."""
+        """Remove ids of requests that ended before the previous rotation, and schedule the next rotation."""
         self._timers.call_at(self._clock.now() + ID_ROTATION_INTERVAL_MS, self.rotate_ids)
         self.ids.rotate()
 
--- a/gateway/network/upstream/attempt.py
+++ b/gateway/network/upstream/attempt.py
@@ -93,10 +93,14 @@
     ) -> None:
         """Create an attempt that `UpstreamPool.start_attempt` sends.
 
-        `request_id` is the number of the request in this process, not the client's X-Request-Id, and `number`
-        counts the attempts of the request from 0. `message` is the complete request or, if `upload` forwards
-        the body, the head of the request. `send_by_ms` is the clock time before which the last byte has to be
-        sent.
+        Args:
+            request_id: The number of the request in this process, not the client's X-Request-Id.
+            number: The number of the attempt within the request; the first attempt has number 0.
+            endpoint_id: The id of the endpoint that receives the attempt.
+            message: The complete request; only its head if `upload` forwards the body.
+            upload: The large body of the request; None if `message` has the body or there is none.
+            observer: The object that receives the outcome.
+            send_by_ms: The clock time before which the last byte of the request has to be sent.
         """
         self.request_id = request_id
         self.number = number
@@ -104,8 +108,8 @@
         self.message = message
         self.upload = upload
         self.send_by_ms = send_by_ms
-        # Clock time from which the latency is measured: the start of the attempt or, if its request was still
-        # being received then, the receipt of the request's last byte.
+        # Clock time from which the latency is measured: the start of the attempt. If the request was not
+        # complete at that time, it is the receipt of its last byte instead.
         self.started_ms = 0.0
         self.response_started_ms = 0.0  # clock time at which forwarding began; 0 if nothing is forwarded
         self.is_ended = False
@@ -119,8 +123,8 @@
     def may_send(self, now_ms: float) -> bool:
         """Return whether sending may begin now.
 
-        It may not after the send deadline, after the client has disconnected during its upload, or if another
-        attempt has already consumed the upload.
+        Sending may not begin after the send deadline, after the client has disconnected during its upload, or
+        after another attempt has started to send the upload, whose bytes are no longer buffered then.
         """
         return now_ms < self.send_by_ms and (self.upload is None or self.upload.may_send())
 
@@ -147,7 +151,7 @@
     def latency_ms(self, now_ms: float) -> float:
         """Return the latency of the attempt in milliseconds.
 
-        It ends at `now_ms` or, if the response is forwarded, when forwarding began.
+        The latency ends at `now_ms`. If the response is forwarded, it ends at the start of forwarding.
         """
         return (self.response_started_ms or now_ms) - self.started_ms
 
--- a/gateway/network/upstream/connection.py
+++ b/gateway/network/upstream/connection.py
@@ -16,11 +16,13 @@
 from gateway.network.upstream.load_report import LoadReportParser
 from gateway.network.upstream.request_writer import RequestWriter
 
-RESPONSE_STALL_TIMEOUT_MS = 10_000.0  # milliseconds without progress that abort a forwarded response
+# Milliseconds after which a response that is being forwarded is aborted if no bytes are received or
+# forwarded.
+RESPONSE_STALL_TIMEOUT_MS = 10_000.0
 # Milliseconds after which a request is aborted if the write buffer is full and the endpoint reads nothing.
 UPLOAD_STALL_TIMEOUT_MS = 5000.0
 # Size in bytes above which the transport reports that its write buffer is full. A request of at most this
-# size fits the empty send buffer of any socket, so it counts as sent as soon as it is written.
+# size fits into the empty send buffer of any socket. It counts as sent as soon as it is written.
 WRITE_BUFFER_HIGH_WATER_BYTES = 8 * 1024
 
 
@@ -77,7 +79,7 @@
         self._metrics = metrics
         self._load_reports = load_reports
         self._exchange: Exchange | None = None
-        self._last_progress_ms = 0.0  # clock time at which a body was last transferred, for stall detection
+        self._last_progress_ms = 0.0  # clock time of the last progress of a transfer; see `is_stalled`
         self._buffered_bytes = 0  # size of the receiver's write buffer at the last stall check
 
     # -- callbacks of the transport
@@ -167,7 +169,7 @@
         self._fail_exchange(self._disconnect_result())
 
     def discard(self) -> None:
-        """Close the connection without waiting for buffered data; the attempt in progress is not notified."""
+        """Close the connection without waiting for buffered data; do not end the attempt in progress."""
         self._detach_exchange()
         self._mark_closed()
         self.transport.abort()
@@ -175,8 +177,8 @@
     def _complete_exchange(self, exchange: Exchange) -> None:
         """Release or close the connection, then end the attempt with its complete response.
 
-        An endpoint may respond before it has received the complete request. Such a connection is closed
-        because the next request would follow an incomplete one.
+        An endpoint may respond before it has received the complete request. In this case the connection is
+        closed: the endpoint would read the next request as a part of the incomplete one.
         """
         exchange.attempt.connection = None
         self._detach_exchange()
@@ -220,8 +222,8 @@
     def has_unread_input(self) -> bool:
         """Return whether the socket has unread bytes or has been closed by the endpoint.
 
-        The event loop may not have reported the input yet. If a request were written now, the bytes would be
-        mistaken for its response, and the close for a reset of that request.
+        The event loop may not have reported the input yet. If a request were written now, the unread bytes
+        would be mistaken for its response, or the close of the connection for a failure of the request.
         """
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -230,9 +232,11 @@
     def is_stalled(self, now_ms: float) -> bool:
         """Return whether the request being sent or the response being forwarded has stalled.
 
-        Progress means that bytes have arrived, that reading or writing was paused or resumed, or that the
-        size of the write buffer to the receiver has changed since the last call. The receiver is the client
-        if a response is being forwarded, otherwise the endpoint.
+        A transfer has stalled if it has made no progress for RESPONSE_STALL_TIMEOUT_MS or, in the case of a
+        request whose write buffer is full, for UPLOAD_STALL_TIMEOUT_MS. There is progress when bytes arrive,
+        when reading or writing is paused or resumed, and when the size of the receiver's write buffer has
+        changed since the last call. The receiver is the client if a response is being forwarded, otherwise
+        the endpoint.
         """
         sink = None if self._exchange is None else self._exchange.sink
         receiver = self.transport if sink is None else sink.transport
@@ -246,10 +250,10 @@
         return stalled_ms > RESPONSE_STALL_TIMEOUT_MS
 
     def _is_reset_pending(self) -> bool:
-        """Return whether the end of input that the event loop has reported was a reset by the endpoint.
+        """Return whether the endpoint has reset the connection, after the event loop has reported its end.
 
-        If a reset follows the last bytes immediately, the event loop reads the bytes, finds no more and
-        reports a regular end of input. The error stays pending until the next read from the socket.
+        If a reset follows the last bytes immediately, the event loop reads the bytes and then reports a
+        regular end of input. The error of the reset stays pending until the next read from the socket.
         """
         try:
             return os.read(self.transport.get_extra_info("socket").fileno(), 1) != b""
--- a/gateway/network/upstream/endpoint.py
+++ b/gateway/network/upstream/endpoint.py
@@ -60,9 +60,9 @@
     def take_idle_connection(self, now_ms: float) -> PooledConnection | None:
         """Remove and return the most recently used idle connection that can be reused; None if there is none.
 
-        A connection can be reused once it has been idle for REUSE_DELAY_MS. A connection with unread input is
-        closed: the input would be mistaken for the response to the next request, or the endpoint's close for
-        a reset of that request.
+        A connection can be reused once it has been idle for REUSE_DELAY_MS. A connection that has unread
+        input or that the endpoint has closed is discarded: the input would be mistaken for the response to
+        the next request, and the close for a failure of that request.
         """
         reusable = [
             connection
@@ -101,9 +101,9 @@
             self.idle[0].discard()
 
     def retire(self) -> None:
-        """Close the idle connections and fail the attempts that wait for a connection.
+        """Close the idle connections, and fail the attempts that wait for a connection.
 
-        Attempts that have been written may still receive their responses.
+        An attempt that has been sent on a connection can still receive its response.
         """
         self.is_retired = True
         self.close_idle()
--- a/gateway/network/upstream/endpoint_registry.py
+++ b/gateway/network/upstream/endpoint_registry.py
@@ -20,8 +20,8 @@
         An endpoint that is no longer ready or has restarted is retired: its idle connections are closed, and
         its attempts that wait for a connection fail.
 
-        Returns the displaced endpoints: the list does not withdraw them, but another ready endpoint now has
-        their address and would receive their attempts, so they are retired as well.
+        Returns the entries of displaced endpoints. The list does not withdraw a displaced endpoint, but
+        another ready endpoint now has its address and would receive its attempts. It is retired as well.
         """
         if endpoint_list.is_snapshot:
             self._retire_unlisted(endpoint_list)
@@ -49,8 +49,7 @@
     def _retire_displaced(self, endpoint_list: EndpointList) -> list[EndpointEntry]:
         """Retire the endpoints displaced from their address, and return their entries.
 
-        An endpoint is displaced by a ready endpoint with the same address that started at the same time or
-        later.
+        An endpoint is displaced by a ready endpoint with an equal address that did not start earlier.
         """
         successors = {
             entry.address: entry.endpoint
--- a/gateway/network/upstream/exchange.py
+++ b/gateway/network/upstream/exchange.py
@@ -19,7 +19,7 @@
 )
 from gateway.network.upstream.response_sink import ResponseSink
 
-# Response bodies of at most this many bytes are buffered until they are complete, if their length is known.
+# A response body of known length is buffered until it is complete if it has at most this many bytes.
 # Buffering keeps retries possible: a request cannot be retried once its response is being forwarded.
 MAX_BUFFERED_BYTES = 64 * 1024
 # Number of bytes of a response body of unknown length that are buffered before the body is forwarded.
@@ -69,7 +69,8 @@
     def __init__(self, attempt: UpstreamAttempt, source: ResponseSource) -> None:
         """Expect the response to an attempt.
 
-        `source` is the endpoint's connection. Reading from it is paused while the client is slow.
+        `source` is the connection to the endpoint. Reading from it is paused while the write buffer to the
+        client is full.
         """
         self.attempt = attempt
         self.sink: ResponseSink | None = None  # the client, once forwarding has started
@@ -113,9 +114,9 @@
         return AttemptOutcome(AttemptResult.ERROR, load=load)
 
     def close(self) -> None:
-        """Break the reference cycle of the response reader and its parser.
+        """Release the response reader; `receive` must not be called afterwards.
 
-        Otherwise both would stay in memory until the garbage collector runs.
+        The reader and its parser refer to each other and would stay in memory until a garbage collection.
         """
         self._reader.close()
 
--- a/gateway/network/upstream/load_report.py
+++ b/gateway/network/upstream/load_report.py
@@ -4,7 +4,9 @@
 
 import json
 
-MAX_REPORTED_LOAD = 1e6  # a load report with a greater value, in the unit of its field, is ignored
+# Maximum value of a field of a load report, in the unit of the field. A report with a greater value is
+# ignored.
+MAX_REPORTED_LOAD = 1e6
 
 
 class LoadReportParser:
--- a/gateway/network/upstream/pool.py
+++ b/gateway/network/upstream/pool.py
@@ -17,8 +17,8 @@
 from gateway.network.upstream.endpoint_registry import EndpointRegistry
 from gateway.network.upstream.load_report import LoadReportParser
 
-# Fraction of the endpoints' idle timeout after which the gateway closes an idle connection. It closes the
-# connection first because a request sent while the endpoint closes it would be lost.
+# Fraction of the endpoints' idle timeout after which the gateway closes an idle connection to an endpoint.
+# The gateway closes it before the endpoint does: a request sent while the endpoint closes it would be lost.
 IDLE_TIMEOUT_FRACTION = 0.6
 SWEEP_INTERVAL_MS = 1000.0  # milliseconds between two checks for stalled and idle connections
 
@@ -40,7 +40,7 @@
         timers: Timers,
         metrics: Metrics,
         *,
-        idle_ms: float,
+        endpoint_idle_timeout_ms: float,
         connect_timeout_ms: float,
         max_connections: int,
         report_fields: tuple[str, ...],
@@ -52,7 +52,7 @@
             clock: The clock that the times of attempts and connections refer to.
             timers: The timers of timeouts and sweeps.
             metrics: The metrics that count the attempts that have been sent.
-            idle_ms: The time in milliseconds after which endpoints close idle connections.
+            endpoint_idle_timeout_ms: The time in milliseconds after which endpoints close idle connections.
             connect_timeout_ms: The time in milliseconds within which a connection has to be established.
             max_connections: The maximum number of connections to all endpoints together.
             report_fields: The fields to be read from load reports.
@@ -63,7 +63,7 @@
         self._timers = timers
         self._metrics = metrics
         self._load_reports = LoadReportParser(report_fields)
-        self._idle_timeout_ms = idle_ms * IDLE_TIMEOUT_FRACTION
+        self._idle_timeout_ms = endpoint_idle_timeout_ms * IDLE_TIMEOUT_FRACTION
         self._connect_timeout_ms = connect_timeout_ms
         self.registry = EndpointRegistry()
         self._streaming: set[UpstreamConnection] = set()  # connections with stall detection
@@ -93,8 +93,8 @@
     def start_attempt(self, attempt: UpstreamAttempt, timeout_ms: float) -> None:
         """Send an attempt on an idle connection or, if there is none, on a new connection.
 
-        The outcome is never reported before this method returns. If the request is still being received, the
-        caller has to call `start_timeout` after its last byte.
+        The outcome is never reported before this method returns. If the request is still being received, its
+        timeout does not start here: the caller has to call `start_timeout` after the last byte.
         """
         now_ms = self.clock.now()
         attempt.started_ms = now_ms
@@ -102,7 +102,7 @@
             self.start_timeout(attempt, timeout_ms)
         if attempt.send_by_ms < math.inf:
             attempt.send_by_timer = self._timers.call_at(attempt.send_by_ms, attempt.expire_if_unsent)
-        # The attempt may have expired since the controller decided to send it, if the event loop was delayed.
+        # If the event loop was delayed, the attempt may have expired since the controller decided to send it.
         if attempt.may_send(now_ms):
             self._send_or_connect(attempt, now_ms)
         else:
@@ -145,9 +145,10 @@
     def _on_connect_ended(
         self, attempt: UpstreamAttempt, connection: UpstreamConnection, connect_task: ConnectTask
     ) -> None:
-        """Send the attempt on its new connection, or fail it.
+        """Send the attempt on its new connection; if there is none or the attempt may not be sent, fail it.
 
-        The event loop also calls this method for a task that was cancelled, even before its first step.
+        The event loop also calls this method for a cancelled task, even if it was cancelled before its first
+        step.
         """
         endpoint = connection.endpoint
         endpoint.waiting_attempts.remove(attempt)
@@ -167,7 +168,7 @@
     # -- connections
 
     def on_connection_reusable(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for reuse, or close it if its endpoint has no use for it."""
+        """Keep a connection for reuse; close it if its endpoint is retired or has enough idle connections."""
         if connection.is_closed or not connection.endpoint.keep_idle_connection(connection, self.clock.now()):
             connection.discard()
 
--- a/gateway/network/upstream/request_writer.py
+++ b/gateway/network/upstream/request_writer.py
@@ -26,7 +26,7 @@
 
 
 class RequestWriter:
-    """Writes requests to one connection, one at a time, with these transitions.
+    """Writes requests to one connection, one at a time, and tracks their transmission in `state`.
 
     State     Input                      Next state
     --------  -------------------------  ----------
@@ -46,7 +46,7 @@
     __slots__ = ("_metrics", "_transport", "state")
 
     def __init__(self, transport: asyncio.WriteTransport, metrics: Metrics) -> None:
-        """Write to this transport, and count the sent requests in `metrics.relayed`."""
+        """Write to this transport, and count the sent requests in `metrics.forwarded_attempts`."""
         self.state = WriterState.IDLE
         self._transport = transport
         self._metrics = metrics
--- a/gateway/network/upstream/response_reader.py
+++ b/gateway/network/upstream/response_reader.py
@@ -7,13 +7,12 @@
 
 import httptools
 
-# Maximum size in bytes of the head of a response together with the preceding interim responses. The full size
-# of each input that begins within a head is counted.
+# Maximum size in bytes of the head of a response together with the preceding interim responses. Each input
+# that begins within a head counts with its full size, even if the head ends within the input.
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024 * 1024  # maximum size of a response body in bytes
-MAX_LENGTH_DIGITS = (
-    9  # maximum number of digits of Content-Length, checked before it is converted to an integer
-)
+# Maximum number of digits of Content-Length, which is checked before the conversion to an integer.
+MAX_LENGTH_DIGITS = 9
 FIRST_FINAL_STATUS = 200  # smallest status code of a final response; interim responses have smaller ones
 STATUSES_WITHOUT_BODY = frozenset((204, 304))  # status codes of responses that never have a body
 
@@ -105,8 +104,8 @@
     before the end  a violation of HTTP's syntax or a limit   MALFORMED        MalformedResponse
 
     A response without a body also passes through the state BODY. The body of an interim response produces no
-    events, but its size is limited. An invalid Content-Length and an exceeded limit are reported after the
-    other events of the same input.
+    events, but its size is limited. An invalid Content-Length or an exceeded limit is reported as the last
+    event of the call of `feed` that finds it.
     """
 
     __slots__ = (
@@ -171,7 +170,7 @@
         return ResponseEnd(keep_alive=False)
 
     def close(self) -> None:
-        """Release the parser, which refers back to the reader; `feed` must not be called afterwards."""
+        """Release the parser, which refers to this reader; `feed` must not be called afterwards."""
         self._parser = None
 
     def _on_syntax_error(self) -> None:
--- a/gateway/simulator/adapter.py
+++ b/gateway/simulator/adapter.py
@@ -1,7 +1,7 @@
 """The adapter to the simulator: it reads batches of messages, runs the controllers, and writes their actions.
 
-The simulator runs many gateways (instances), each with a controller of its own. All decisions are made by the
-controllers. Invalid input ends the process with one error message.
+The simulator runs many gateways (instances). The adapter runs one controller for each instance, and the
+controllers make all decisions. Invalid input ends the process with one error message.
 """
 
 from __future__ import annotations
@@ -46,10 +46,10 @@
 
 
 class ControllerError(GatewayError):
-    """An error in a controller, which is the cause; the text is the report to the simulator."""
+    """An error in a controller; its text is the report to the simulator, its cause the original error."""
 
     def __init__(self, instance: int, error: Exception) -> None:
-        """Compose the report for an error in the controller of an instance, on a single line."""
+        """Compose the report, with the text of `error` on a single line, because each message is one line."""
         error_text = " ".join(str(error).split())
         super().__init__(f"FROM\t{instance}\nBUG\tinstance {instance}: {type(error).__name__}: {error_text}")
 
@@ -85,7 +85,7 @@
     def __init__(self, source: Iterator[str], sink: TextIO, error_output: TextIO) -> None:
         """Read lines from `source` and write replies to `sink`.
 
-        `error_output` gets one line for each name of unknown messages, which are skipped.
+        Unknown messages are skipped; `error_output` gets one line for each of their names.
         """
         self._messages = parse_messages(source)
         self._sink = sink
--- a/gateway/simulator/fields.py
+++ b/gateway/simulator/fields.py
@@ -1,7 +1,7 @@
 """Parsers of the fields of the simulator's messages.
 
-Each function returns the value that the text of a field stands for, and raises ValueError or KeyError if the
-text is invalid.
+Each function converts the text of a field to a value, and raises ValueError or KeyError if the text is
+invalid.
 """
 
 from __future__ import annotations
--- a/gateway/simulator/messages.py
+++ b/gateway/simulator/messages.py
@@ -113,7 +113,7 @@
             raise WireError(f"{self.wire_name}: expected {expected} fields, received {len(self._texts)}")
 
     def read(self, field: str, parse: Callable[[str], _Value]) -> _Value:
-        """Return the value that `parse` finds in a field; raises WireError if the value is invalid."""
+        """Return the value of a field, converted by `parse`; raises WireError if the value is invalid."""
         text = self._texts[self._positions[field]]
         try:
             return parse(text)
--- a/gateway/simulator/translation.py
+++ b/gateway/simulator/translation.py
@@ -16,14 +16,14 @@
 
 
 def is_event(message: Message) -> bool:
-    """Return whether a single message makes an event for the controller of an instance."""
+    """Return whether a message by itself translates to an event of the controller."""
     return message.wire_name in _TRANSLATORS
 
 
 def event_from(message: Message) -> events.Event:
-    """Return the event that a message makes; raises WireError if a field is invalid.
+    """Return the event to which a message translates; raises WireError if a field is invalid.
 
-    `is_event` must hold for the message, and its number of fields must have been checked.
+    The caller must have checked `is_event` and called `Message.check_fields`.
     """
     return _TRANSLATORS[message.wire_name](message)
 
@@ -55,7 +55,7 @@
 
 
 def line_for(action: actions.Action) -> str:
-    """Return the line that tells the simulator to perform an action."""
+    """Return the line that requests an action from the simulator, without its line end."""
     match action:
         case actions.SendAttempt(request_id, endpoint, timeout_ms):
             return f"HAND_OFF\t{request_id}\t{endpoint}\t{timeout_ms:.3f}"
@@ -143,7 +143,7 @@
     return events.CounterReplied(message.read("counter", fields.parse_text))
 
 
-# The function that translates each message that makes an event, by the wire name of the message.
+# The function that translates a message to an event, by the wire name of the message.
 _TRANSLATORS: dict[str, Callable[[Message], events.Event]] = {
     MessageName.REQUEST_ARRIVED: _request_arrived,
     MessageName.RESPONSE_STARTED: _response_started,
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -29,9 +29,8 @@
         assert not sends_in(controller.handle(1001, [GossipReceived(1, data)]))
     controller.handle(1001, [GossipReceived(9, good), GossipReceived(0, good)])
     assert not controller.flow.leader.buckets and not controller.flow.open_requests
-    controller.handle(
-        1001, [GossipReceived(1, good), GossipReceived(1, good)]
-    )  # the units of a duplicate are drawn once
+    # The units of the message are drawn once, although it is received twice.
+    controller.handle(1001, [GossipReceived(1, good), GossipReceived(1, good)])
     bucket = controller.flow.leader.buckets[quota_entry(EntryKind.REQUEST).bucket_id]
     assert bucket.quota_level == pytest.approx(12 - 4, abs=0.1)
 
--- a/tests/network/discovery/test_watch.py
+++ b/tests/network/discovery/test_watch.py
@@ -71,9 +71,8 @@
     _, writer = await discovery_service.next_call()
     writer.write(reply) if reply else writer.transport.abort()
     target, writer = await discovery_service.next_call()
-    assert (
-        target == "/discovery/hosts?since=41&timeout_ms=1"
-    )  # the short timeout: changes since index 41 are returned at once
+    # The watch has the short timeout, with which changes since index 41 are returned at once.
+    assert target == "/discovery/hosts?since=41&timeout_ms=1"
     writer.write(json_response(endpoint_list(endpoint_entry("w1", 5001), index=44, snapshot=False)))
     assert (await received_lists.get()).index == 44
     assert (await discovery_service.next_call()).target == WATCH_TARGET.format(44)
--- a/tools/standins.py
+++ b/tools/standins.py
@@ -18,8 +18,8 @@
 HOST = "127.0.0.1"  # address on which the servers and the gateway listen
 GATEWAY_PORT = 8080  # port on which the gateway accepts clients
 ADMIN_PORT = 9100  # port of the gateway's admin endpoint
-MAX_WATCH_S = 5.0  # seconds after which a watch is answered without a change
-SHORT_WATCH = "timeout_ms=1"  # last query parameter of a watch that must be answered at once
+WATCH_DURATION_S = 5.0  # seconds after which a watch is answered without a change
+SHORT_WATCH = "timeout_ms=1"  # last query parameter of a watch that is answered without this delay
 SETTINGS = {
     "balancers": 1,
     "myNumber": 0,
@@ -54,7 +54,7 @@
 
 
 class EndpointHandler(QuietHandler):
-    """The handler of the endpoint, which answers every GET request alike."""
+    """The handler of the endpoint, which sends an identical response to every GET request."""
 
     def do_GET(self) -> None:
         """Respond with a constant body."""
@@ -74,13 +74,13 @@
     }
 
     class DiscoveryHandler(QuietHandler):
-        """Answers a poll with the list at once, and a watch with no change after MAX_WATCH_S."""
+        """Answers a poll with the list at once, and a watch with no change after WATCH_DURATION_S."""
 
         def do_GET(self) -> None:
             """Answer a poll or a watch, which has the query parameter `since`."""
             is_watch = "since=" in self.path
             if is_watch and self.path.rpartition("&")[2] != SHORT_WATCH:
-                time.sleep(MAX_WATCH_S)
+                time.sleep(WATCH_DURATION_S)
             endpoints = [] if is_watch else [entry]
             response = {"index": 1, "snapshot": not is_watch, "endpoints": endpoints}
             self.respond(json.dumps(response).encode())
