--- a/gateway/network/admin/metrics.py
+++ b/gateway/network/admin/metrics.py
@@ -24,7 +24,7 @@
 
 
 class Metrics:
-    """The counters, which start at 0 with the process. The values of the gauges are passed to `text`."""
+    """The counters of a process, which start at 0; the values of the gauges are passed to `text`."""
 
     def __init__(self, class_names: Iterable[str]) -> None:
         """Create the counters for requests of the classes `class_names`."""
--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -39,7 +39,7 @@
     def send_attempt(self, action: SendAttempt) -> None:
         """Start an attempt, or report it as NOT_SENT if its request is closed or its client has disconnected.
 
-        A disconnect that is detected here closes the request.
+        If this method detects that the client has disconnected, it also closes the request.
         """
         request = self._requests.open.get(action.id)
         if request is None:
--- a/gateway/network/client_frontend.py
+++ b/gateway/network/client_frontend.py
@@ -114,7 +114,7 @@
         now_ms = self.clock.now()
         self.timers.call_at(now_ms + SWEEP_INTERVAL_MS, self._sweep)
         self.hand_over_idle_connections()
-        self._requests.drop_disconnected_uploads()
+        self._requests.close_disconnected_uploads()
         self.connections.sweep(now_ms, self.is_draining)
 
     # -- requests
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -342,7 +342,7 @@
             self._send_complete(HTTPStatus.SERVICE_UNAVAILABLE, b"not up\n", TEXT_PLAIN)
 
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
-        """Write the head of a response; the parts of its body follow by `forward_part`.
+        """Write the head of a response; `forward_part` then writes the parts of its body.
 
         Args:
             source: The endpoint connection that is paused while the client reads too slowly.
@@ -504,9 +504,10 @@
         return self.body_progress.is_overdue(now_ms, self.reader.body_size, timeout_ms, min_bytes_per_ms)
 
     def has_unread_input(self) -> bool:
-        """Return whether the socket holds unread bytes, or an unread end of the connection.
+        """Return whether the socket holds unread input: bytes, or the end of the client's input.
 
-        Always False during the pause after a rejected request, in which the gateway leaves input unread.
+        The result is always False during the pause after a rejected request, because the gateway leaves input
+        unread on purpose then.
         """
         if self.state is _PAUSED:
             return False
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -84,7 +84,7 @@
         """Return whether the connection can be handed over: it is idle, and all responses are written."""
 
     def has_unread_input(self) -> bool:
-        """Return whether the socket holds unread bytes, or an unread end of the connection."""
+        """Return whether the socket holds unread input: bytes, or the end of the client's input."""
 
     def is_input_overdue(self, now_ms: float, timeout_ms: float, min_bytes_per_ms: float) -> bool:
         """Return whether the head of a request is still incomplete, or its body arrives too slowly."""
--- a/gateway/network/clients/open_request.py
+++ b/gateway/network/clients/open_request.py
@@ -26,10 +26,10 @@
     def send_response(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Write the complete response; its Retry-After field is left out if `retry_after_ms` is 0."""
+        """Write the complete response; it has no Retry-After field if `retry_after_ms` is 0."""
 
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
-        """Write the head of a response; the parts of its body follow by `forward_part`.
+        """Write the head of a response; `forward_part` then writes the parts of its body.
 
         Args:
             source: The endpoint connection that is paused while the client reads too slowly.
--- a/gateway/network/clients/request_handler.py
+++ b/gateway/network/clients/request_handler.py
@@ -63,7 +63,7 @@
         """Close an open request whose client has disconnected; it gets no response."""
 
     def open_request(self, client: HandledConnection, received: ReceivedRequest) -> OpenRequest:
-        """Validate a request and open it; the response follows by the methods of `ClientChannel`.
+        """Validate a request and open it; its response is written by the methods of `ClientChannel`.
 
         Raises:
             BadRequestError: The request is rejected; the error has the status of the response.
--- a/gateway/network/clients/response_writer.py
+++ b/gateway/network/clients/response_writer.py
@@ -12,7 +12,7 @@
 
 MS_PER_S = 1000
 
-OK = int(HTTPStatus.OK)  # comparison with a plain integer is faster than with an enum member
+OK = int(HTTPStatus.OK)  # an integer, because a comparison with an enum member is slower
 
 # The reason phrase of each status that the gateway sends to clients.
 REASON_PHRASES: dict[int, bytes] = {
@@ -71,7 +71,7 @@
         Args:
             length: The length of the body in bytes, None if it is unknown.
             content_type: The value of Content-Type; the field is left out if it is empty.
-            chunked: Whether the body is sent in chunks. With neither chunks nor a length, the end of the
+            chunked: Whether the body is sent in chunks. If it is not and `length` is None, the end of the
                 connection marks the end of the body.
             close: Whether the response states that the connection closes.
         """
--- a/gateway/network/discovery/backoff.py
+++ b/gateway/network/discovery/backoff.py
@@ -13,7 +13,8 @@
 WATCH_TIMEOUT_MS = 5000
 SMALL_FLEET_SIZE = 5  # number of gateways up to which a fleet neither extends watches nor spreads retries
 MAX_WATCH_TIMEOUT_FACTOR = 8.0  # maximum factor by which a larger fleet extends WATCH_TIMEOUT_MS
-INITIAL_BACKOFF_S = 0.02  # seconds of backoff after the first failed call; doubles with each further failure
+# Backoff in seconds after the first failed call, before jitter. It doubles with each further failed call.
+INITIAL_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 0.5  # maximum backoff in seconds, before jitter
 # Maximum number of times that the backoff and the spread interval double; both reach their maximum earlier.
 MAX_DOUBLINGS = 10
@@ -21,8 +22,9 @@
 MAX_BACKOFF_JITTER = 1.5  # largest random factor that is applied to the backoff
 # The retries of a fleet are spread over an interval of this many seconds per gateway beyond SMALL_FLEET_SIZE.
 SPREAD_PER_GATEWAY_S = 0.8
-# Seconds per gateway that replace SPREAD_PER_GATEWAY_S until a call has succeeded. The value doubles with
-# each failure. It starts smaller because the configured endpoint list may be outdated.
+# Until the first successful call, the spread interval has this many seconds per gateway beyond
+# SMALL_FLEET_SIZE. The value doubles with each failed call, up to SPREAD_PER_GATEWAY_S. It starts below that
+# value because the configured endpoint list, which the gateway uses until then, may be outdated.
 INITIAL_SPREAD_PER_GATEWAY_S = 0.25
 # Fraction of the spread interval that elapses before a retry, except for the first retry after a successful
 # call.
--- a/gateway/network/hot_restart/coordinator.py
+++ b/gateway/network/hot_restart/coordinator.py
@@ -19,8 +19,8 @@
 from gateway.network.hot_restart.socket_file import SocketFile
 from gateway.network.hot_restart.successor import SuccessorSide
 
-# Maximum time in seconds to wait for the predecessor to hand over. An unresponsive predecessor delays the
-# start of this process by no more than this.
+# Maximum time in seconds for which a starting process waits for its predecessor to hand over. It limits the
+# delay that an unresponsive predecessor causes.
 HANDOVER_TIMEOUT_S = 1.0
 
 log = logging.getLogger(__name__)
@@ -76,7 +76,7 @@
                 await self._bind_and_serve()
 
     async def close_listeners(self) -> None:
-        """Accept no more clients or successors, and close the listening sockets.
+        """Stop accepting clients and successors, and close the listening sockets.
 
         Connections in the accept queue are served first, unless a successor accepts them from the shared
         socket.
--- a/gateway/network/hot_restart/handover_state.py
+++ b/gateway/network/hot_restart/handover_state.py
@@ -30,6 +30,6 @@
 
 
 def decode(data: bytes | bytearray) -> HandoverState:
-    """Return the state from its JSON; raises ValueError, KeyError or TypeError if that is malformed."""
+    """Return the state that `data` encodes; raises ValueError, KeyError or TypeError if it is malformed."""
     state = json.loads(data)
     return HandoverState(state["names"], GatewayState.from_json(state["module"]), state["held"])
--- a/gateway/network/process_role.py
+++ b/gateway/network/process_role.py
@@ -48,8 +48,8 @@
 class Retired:
     """The role of a process that finishes its open requests after a successor has taken over the service.
 
-    `gossip_link` is the link to the successor, or None once a predecessor of this process has ended in this
-    role.
+    `gossip_link` is the link to the successor. It is None if the predecessor of this process has ended after
+    this process entered the role.
     """
 
     successor: SuccessorLink
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -53,24 +53,26 @@
         self._attempts = attempts
         self._events = events
         self._last_id = 0
-        self._shutdown_end_ms = math.inf  # clock time by which the shutdown ends
+        self._shutdown_end_ms = math.inf  # clock time of the planned end of the shutdown
         timers.call_at(clock.now() + ID_ROTATION_INTERVAL_MS, self.rotate_ids)
 
     # -- acceptance
 
-    def add(self, client: ClientChannel, parsed: ValidatedRequest, received: ReceivedRequest) -> OpenRequest:
+    def add(
+        self, client: ClientChannel, validated: ValidatedRequest, received: ReceivedRequest
+    ) -> OpenRequest:
         """Open a request, which has to get exactly one response from now on.
 
         Raises:
-            BadRequestError: The id belongs to an open or recently ended request, so this one is a duplicate.
+            BadRequestError: The request is a duplicate: its id is that of an open or recently ended request.
         """
-        if parsed.id in self.ids:
+        if validated.id in self.ids:
             raise BadRequestError(
-                f"x-request-id {parsed.id.decode()} belongs to an open or recently ended request",
+                f"x-request-id {validated.id.decode()} belongs to an open or recently ended request",
                 HTTPStatus.CONFLICT,
             )
         head = upstream_head(
-            parsed,
+            validated,
             received.method,
             received.target,
             received.headers.get(b"content-type"),
@@ -79,23 +81,23 @@
         self._last_id += 1
         request = OpenRequest(
             self._last_id,
-            parsed.id,
-            parsed.request_class.name,
+            validated.id,
+            validated.request_class.name,
             client,
             head,
             received.body,
             received.upload,
-            parsed.wait_ms,
+            validated.wait_ms,
         )
         self.open[request.id] = request
-        self.ids.add_open(parsed.id)
+        self.ids.add_open(validated.id)
         return request
 
     def deadline_at_ms(self, request: OpenRequest) -> float:
         """Return the clock time of the deadline of a request whose last byte has just been received.
 
-        It is the client's deadline or, if that is earlier, the end of this process's shutdown. The shutdown
-        does not shorten the remaining time below twice DEADLINE_MARGIN_MS.
+        The deadline is the client's deadline or, if it is earlier, the planned end of the shutdown of this
+        process. The shutdown does not shorten the remaining time below twice DEADLINE_MARGIN_MS.
         """
         now_ms = self._clock.now()
         return min(now_ms + request.wait_ms, max(self._shutdown_end_ms, now_ms + 2 * DEADLINE_MARGIN_MS))
@@ -107,7 +109,7 @@
         )
 
     def begin_shutdown(self, end_ms: float) -> None:
-        """Limit the deadlines of requests received from now on to the clock time `end_ms`."""
+        """Limit the deadlines of requests that are received from now on to the clock time `end_ms`."""
         self._shutdown_end_ms = end_ms
 
     # -- responses
@@ -195,7 +197,7 @@
         self._timers.call_at(self._clock.now() + ID_ROTATION_INTERVAL_MS, self.rotate_ids)
         self.ids.rotate()
 
-    def drop_disconnected_uploads(self) -> None:
+    def close_disconnected_uploads(self) -> None:
         """Close the connections of clients that have disconnected during an upload.
 
         While reading of the body is paused, the event loop does not report that the client has disconnected.
--- a/gateway/network/upstream/endpoint.py
+++ b/gateway/network/upstream/endpoint.py
@@ -10,8 +10,9 @@
 
 MAX_CONNECTIONS_PER_ENDPOINT = 128  # maximum number of connections to one endpoint, in use or idle
 MAX_IDLE_CONNECTIONS_PER_ENDPOINT = 24  # maximum number of idle connections kept for reuse per endpoint
-# Milliseconds for which a connection is not reused after a response. A duplicate of the response that arrives
-# within this time closes the connection instead of being mistaken for the response to the next request.
+# Milliseconds for which a connection is not reused after a response. If a duplicate of the response arrives
+# within this time, the connection is closed. Otherwise the duplicate would be mistaken for the response to
+# the next request.
 REUSE_DELAY_MS = 10.0
 
 
--- a/gateway/network/upstream/request_writer.py
+++ b/gateway/network/upstream/request_writer.py
@@ -26,7 +26,9 @@
 
 
 class RequestWriter:
-    """Writes requests to one connection, one at a time, and tracks their transmission in `state`.
+    """Writes requests to one connection, one at a time, and tracks their transmission.
+
+    The state changes as follows:
 
     State     Input                      Next state
     --------  -------------------------  ----------
@@ -62,7 +64,7 @@
         return self.state is not _WRITTEN
 
     def start_request(self) -> None:
-        """Begin the next request; its parts follow."""
+        """Begin the next request; its bytes follow by `write_part` and `write_last`."""
         self.state = _WRITING
 
     def write_part(self, data: bytes) -> None:
--- a/gateway/process.py
+++ b/gateway/process.py
@@ -193,9 +193,9 @@
             except ConfigError as error:
                 log.error("configuration reload failed, keeping the current configuration: %s", error)
             else:
-                self._apply_reloaded(config)
+                self._apply_reloaded_config(config)
 
-    def _apply_reloaded(self, config: Config) -> None:
+    def _apply_reloaded_config(self, config: Config) -> None:
         """Use the discovery address of a reloaded configuration; log a warning if other values differ.
 
         The other values take effect only after a restart of the process.
