--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -41,7 +41,7 @@
 
         If this method detects that the client has disconnected, it also closes the request.
         """
-        request = self._requests.open.get(action.id)
+        request = self._requests.open_requests.get(action.id)
         if request is None:
             self._report_not_sent(action, 0)
         elif request.client.is_disconnected():
@@ -99,7 +99,7 @@
         Returns the client, or None if the request is closed or the response of another attempt is being
         forwarded.
         """
-        request = self._requests.open.get(attempt.request_id)
+        request = self._requests.open_requests.get(attempt.request_id)
         if request is None or request.streaming_attempt is not None:
             return None
         request.streaming_attempt = attempt.number
@@ -114,7 +114,7 @@
     def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """Finish the request if the outcome of this attempt decides it, and report the result."""
         self._attempts.remove(attempt)
-        request = self._requests.open.get(attempt.request_id)
+        request = self._requests.open_requests.get(attempt.request_id)
         is_final = request is None or self._finish_request(request, attempt, outcome)
         self._events.enqueue(
             AttemptEnded(
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -174,7 +174,7 @@
         """Return the metrics in the text format of Prometheus."""
         listed, avoided = self.controller_loop.controller.endpoint_counts(self.clock.now())
         return self.metrics.text(
-            open_requests=len(self.requests.open), registry_entries=listed, out_of_rotation=avoided
+            open_requests=len(self.requests.open_requests), registry_entries=listed, out_of_rotation=avoided
         )
 
     # -- hot restart
@@ -247,7 +247,7 @@
 
     def has_open_work(self) -> bool:
         """Return whether a request or a client connection is still open."""
-        return bool(self.requests.open or self.connections)
+        return bool(self.requests.open_requests or self.connections)
 
     def continue_draining(self) -> bool:
         """Hand over or close the idle connections, and return whether a request or a connection is open.
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -123,7 +123,7 @@
         log.info(
             "hot restart: gateway %s handed over to its successor, %d open requests remain",
             gateway.config.name,
-            len(gateway.requests.open),
+            len(gateway.requests.open_requests),
         )
 
     def _send_sockets(self, link: PacketLink) -> None:
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -45,7 +45,7 @@
         events: EventSink,
     ) -> None:
         """Create an empty table and start the rotation of request ids."""
-        self.open: dict[int, OpenRequest] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self.ids = RecentIds()
         self._clock = clock
         self._timers = timers
@@ -89,7 +89,7 @@
             received.upload,
             validated.wait_ms,
         )
-        self.open[request.id] = request
+        self.open_requests[request.id] = request
         self.ids.add_open(validated.id)
         return request
 
@@ -135,7 +135,7 @@
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
         """Respond with 503 to a request that was not executed and may be retried, if it is open."""
-        request = self.open.get(request_id)
+        request = self.open_requests.get(request_id)
         if request is not None:
             self.send_response(
                 request,
@@ -146,7 +146,7 @@
 
     def fail(self, request_id: int) -> None:
         """Respond with 502 to a request that failed, if it is open."""
-        request = self.open.get(request_id)
+        request = self.open_requests.get(request_id)
         if request is not None:
             self.send_response(request, FinalStatus.FAULTED, HTTPStatus.BAD_GATEWAY)
 
@@ -178,7 +178,7 @@
 
         Returns False without any effect if the request is no longer open.
         """
-        if self.open.pop(request.id, None) is None:
+        if self.open_requests.pop(request.id, None) is None:
             return False
         self.ids.mark_ended(request.request_id)
         if request.guard_timer is not None:
@@ -202,7 +202,7 @@
 
         While reading of the body is paused, the event loop does not report that the client has disconnected.
         """
-        uploading = [request.client for request in self.open.values() if request.upload is not None]
+        uploading = [request.client for request in self.open_requests.values() if request.upload is not None]
         for client in uploading:
             if client.is_disconnected():
                 client.abort()
--- a/tests/network/clients/test_bad_requests.py
+++ b/tests/network/clients/test_bad_requests.py
@@ -45,7 +45,7 @@
     assert (await client.send(data).next_response()).status == status and await client.is_closed_by_peer()
     writer.write(http_response())
     assert (await other.next_response()).status == 200
-    assert len(gateway.requests.open) == 0 and endpoint.requests.empty()
+    assert len(gateway.requests.open_requests) == 0 and endpoint.requests.empty()
 
 
 async def test_request_with_the_id_of_an_open_or_recent_request_gets_a_409(
--- a/tests/network/clients/test_connection.py
+++ b/tests/network/clients/test_connection.py
@@ -33,7 +33,7 @@
     client.send(http_request())
     _, writer = await endpoint.next_request()
     client.send(http_request())
-    (request,) = gateway.requests.open.values()
+    (request,) = gateway.requests.open_requests.values()
     while not request.client.is_pipelined:
         await asyncio.sleep(0)
     writer.write(http_response(body=b"first"))
--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -25,7 +25,7 @@
         limiter.evict_excess()
         if closed is not None:
             assert await closed.is_closed_by_peer() and len(limiter) == eviction_threshold
-    assert len(limiter) == 1 and len(gateway.requests.open) == 1
+    assert len(limiter) == 1 and len(gateway.requests.open_requests) == 1
 
 
 def send_without_reading(client, connection):
@@ -71,7 +71,7 @@
         received.cancel()
         late = (await running_gateway.connect()).send(http_request())
     closed.cancel()
-    assert len(limiter) <= limiter.max_admitted and len(gateway.requests.open) == 1
+    assert len(limiter) <= limiter.max_admitted and len(gateway.requests.open_requests) == 1
     for other in others:
         other.close()
 
--- a/tests/network/clients/test_disconnects.py
+++ b/tests/network/clients/test_disconnects.py
@@ -25,7 +25,8 @@
     await endpoint.next_request()
     arrival = await controller.next_event(RequestArrived)
     client.close()
-    assert (await controller.next_event(ClientDisconnected)).id == arrival.id and not gateway.requests.open
+    disconnected = await controller.next_event(ClientDisconnected)
+    assert disconnected.id == arrival.id and not gateway.requests.open_requests
 
 
 @pytest.mark.scripted_controller(endpoint=None)
--- a/tests/network/test_gateway.py
+++ b/tests/network/test_gateway.py
@@ -30,7 +30,7 @@
     assert (arrival.class_name, arrival.plan_name, arrival.spread) == ("book", "basic", 2)
     outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.OK and outcome.final and outcome.load == (0.5, 7.0)
-    assert not gateway.requests.open and not gateway.attempts.in_flight
+    assert not gateway.requests.open_requests and not gateway.attempts.in_flight
 
 
 async def test_first_response_of_two_attempts_is_sent_to_the_client(endpoint, controller, gateway, client):
--- a/tests/network/test_request_table.py
+++ b/tests/network/test_request_table.py
@@ -147,7 +147,7 @@
     request = add_guarded_request(harness)
     end_request, written, outcome = RESPONSES[first]
     end_request(harness, request)
-    assert not harness.table.open
+    assert not harness.table.open_requests
     for name in ("response", "reject", "fail", "guard"):
         RESPONSES[name][0](harness, request)
     assert harness.client.written == [written] and harness.outcome_counts() == {outcome: 1}
@@ -195,7 +195,7 @@
     request = harness.add_request(b"r1")
     with pytest.raises(BadRequestError) as rejected:
         harness.add_request(b"r1")
-    assert rejected.value.status == 409 and list(harness.table.open) == [request.id]
+    assert rejected.value.status == 409 and list(harness.table.open_requests) == [request.id]
     assert harness.add_request(b"r2").id != request.id
     harness.table.fail(request.id)
     harness.timers.advance(ID_ROTATION_INTERVAL_MS)
--- a/tests/network/test_shutdown.py
+++ b/tests/network/test_shutdown.py
@@ -48,4 +48,4 @@
     client.send(http_request(deadline=10_000))
     arrival = await controller.next_event(RequestArrived)
     assert arrival.deadline_at_ms < began_ms + 150.0
-    assert (await client.next_response()).status == 504 and not gateway.requests.open
+    assert (await client.next_response()).status == 504 and not gateway.requests.open_requests
--- a/tests/network/test_streamed_bodies.py
+++ b/tests/network/test_streamed_bodies.py
@@ -109,7 +109,7 @@
     assert (await client.next_response()).status == 503
     client.send(bytes(LARGE - 1000) + http_request())
     assert (await client.next_response()).status == 503
-    assert not gateway.requests.open
+    assert not gateway.requests.open_requests
 
 
 async def test_disconnect_during_a_body_ends_the_attempt_as_not_sent(endpoint, controller, gateway, client):
@@ -120,7 +120,7 @@
     assert outcome.result is AttemptResult.NOT_SENT  # the result does not count as a failure of the endpoint
     with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
         await reader.readexactly(LARGE)
-    assert not gateway.requests.open and not gateway.attempts.in_flight
+    assert not gateway.requests.open_requests and not gateway.attempts.in_flight
 
 
 @pytest.mark.scripted_controller(endpoint=None)
@@ -128,7 +128,7 @@
     """The end of the connection follows bytes that the gateway does not read while the body is paused."""
     client.send(upload_head(LARGE) + bytes(uploads.MAX_BUFFERED_BYTES))
     arrival = await controller.next_event(RequestArrived)
-    await wait_until(lambda: gateway.requests.open[arrival.id].client.body_progress.paused_since_ms)
+    await wait_until(lambda: gateway.requests.open_requests[arrival.id].client.body_progress.paused_since_ms)
     client.close()
     async with asyncio.timeout(5):
         assert (await controller.next_event(ClientDisconnected)).id == arrival.id
--- a/tests/network/test_streamed_responses.py
+++ b/tests/network/test_streamed_responses.py
@@ -34,7 +34,7 @@
     head = await client.reader.readuntil(b"\r\n\r\n")
     assert (b"chunked" in head) == (framing == "chunks") and b" 200 " in head
     started = await controller.next_event(ResponseStarted)
-    assert started.attempt == 0 and len(gateway.requests.open) == 1
+    assert started.attempt == 0 and len(gateway.requests.open_requests) == 1
     writer.write(half if framing == "length" else b"\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(half), half))
     received = b""
     while framing == "length" and len(received) < 2 * len(half):
@@ -47,7 +47,7 @@
             break
     assert received == 2 * half
     outcome = await controller.next_event(AttemptEnded)
-    assert outcome.result is AttemptResult.OK and outcome.final and not gateway.requests.open
+    assert outcome.result is AttemptResult.OK and outcome.final and not gateway.requests.open_requests
     client.send(http_request())  # on the same connection
     await controller.next_event(RequestArrived)
 
@@ -104,4 +104,4 @@
     gateway.upstreams._sweep()  # there has been no progress since the first sweep
     outcome = await controller.next_event(AttemptEnded)
     assert outcome.result is AttemptResult.RESET
-    assert not gateway.requests.open
+    assert not gateway.requests.open_requests
