--- a/gateway/network/admin/metrics.py
+++ b/gateway/network/admin/metrics.py
@@ -32,7 +32,7 @@
         self.operations = {(name, status): 0 for name in class_names for status in FinalStatus}
         self.forwarded_attempts = 0  # number of attempts written completely to an endpoint
 
-    def on_final_answer(self, class_name: str, status: FinalStatus) -> None:
+    def on_final_response(self, class_name: str, status: FinalStatus) -> None:
         """Count a request of the class that has received its final response."""
         self.operations[class_name, status] += 1
 
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -72,7 +72,7 @@
 class LimitedConnection(Protocol):
     """The part of a client connection that the limiter uses."""
 
-    received_while_closing: bool  # the connection sets it when input arrives, the limiter clears it
+    received_while_closing: bool  # whether input has arrived since the limiter last set it to False
     closing_since_ms: float  # time at which the gateway began to close the connection
     transport: asyncio.Transport
 
--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -24,7 +24,7 @@
 )
 from gateway.network.discovery.drain_memory import DrainMemory
 
-ENDPOINT_LIST_PATH = "/discovery/hosts"  # the path of the endpoint list
+ENDPOINT_LIST_PATH = "/discovery/hosts"  # the path of the endpoint list at the discovery service
 # Milliseconds for which discovery may wait for a change during the first watch and during the first watch
 # after a failure. An unresponsive discovery would be detected later by a longer watch.
 SHORT_WATCH_TIMEOUT_MS = 1
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -135,7 +135,7 @@
 
 
 class Successor:
-    """The link to the successor, for the gateway that has handed over to it (`SuccessorLink`)."""
+    """The link to the successor of this process; implements `SuccessorLink`."""
 
     def __init__(self, link: PacketLink, connections: ConnectionLimiter) -> None:
         """Send packets on `link`, and remove connections that are handed over from `connections`."""
--- a/gateway/network/hot_restart/successor.py
+++ b/gateway/network/hot_restart/successor.py
@@ -29,7 +29,7 @@
         socket_file: SocketFile | None,
         tasks: BackgroundTasks,
     ) -> None:
-        """Connect to nothing yet; `gateway` gets the restored state, and `listener` the listening socket."""
+        """Connect to nothing yet; a takeover restores the state of `gateway` and the socket of `listener`."""
         self._gateway = gateway
         self._listener = listener
         self._socket_file = socket_file
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -129,7 +129,7 @@
         """
         if not self._close_request(request):
             return False
-        self._metrics.on_final_answer(request.class_name, outcome)
+        self._metrics.on_final_response(request.class_name, outcome)
         request.client.send_response(status, body, content_type, retry_after_ms)
         return True
 
@@ -157,7 +157,7 @@
         """
         self._close_request(request)
         outcome = FinalStatus.FULFILLED if is_complete else FinalStatus.FAULTED
-        self._metrics.on_final_answer(request.class_name, outcome)
+        self._metrics.on_final_response(request.class_name, outcome)
         if is_complete:
             request.client.finish_response()
         else:
