--- a/gateway/network/admin/endpoint.py
+++ b/gateway/network/admin/endpoint.py
@@ -48,7 +48,7 @@
     timers: Timers
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process serves and has not handed over to a successor."""
 
     def metrics_text(self) -> bytes:
@@ -121,11 +121,11 @@
         self.connections[connection] = None
 
     def remove_connection(self, connection: AdminConnection) -> None:
-        """Remove a closed or aborted connection; do nothing if it has been removed already."""
+        """Remove a closed or aborted connection; has no effect if it is not registered any more."""
         self.connections.pop(connection, None)
 
     def _readiness_response(self) -> AdminResponse:
-        if self.gateway.ready:
+        if self.gateway.is_ready:
             return AdminResponse(HTTPStatus.OK, b"yes\n")
         return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"no\n")
 
@@ -180,7 +180,8 @@
     def connection_lost(self, _error: Exception | None) -> None:
         """Unregister the connection, and release the parser.
 
-        The parser refers back to this connection; the cycle would stay in memory until a garbage collection.
+        The parser and this connection refer to each other. Both would stay in memory until a garbage
+        collection.
         """
         self._parser = None
         self.is_finished = True
@@ -189,7 +190,7 @@
     # -- the parser's callbacks
 
     def on_url(self, url: bytes) -> None:
-        """Append a part of the request target, which may arrive in several."""
+        """Append a part of the request target, which may arrive in several parts."""
         self._url += url
 
     def on_message_complete(self) -> None:
--- a/gateway/network/attempt_runner.py
+++ b/gateway/network/attempt_runner.py
@@ -39,9 +39,9 @@
     def send_attempt(self, action: SendAttempt) -> None:
         """Start an attempt, or report it as NOT_SENT if its request is closed or its client has disconnected.
 
-        A disconnect that is detected here closes the request.
+        If this method detects that the client has disconnected, it also closes the request.
         """
-        request = self._requests.open.get(action.id)
+        request = self._requests.open_requests.get(action.id)
         if request is None:
             self._report_not_sent(action, 0)
         elif request.client.is_disconnected():
@@ -60,7 +60,8 @@
     def on_request_completed(self, request: OpenRequest, timeout_ms: float) -> None:
         """Start the timeouts of the attempts of a request whose last byte has just been received.
 
-        Their latency is measured from now on, so it excludes the time that the client took for the upload.
+        The latency of the attempts is measured from now on. It excludes the time that the client took for the
+        upload.
         """
         now_ms = self._clock.now()
         for attempt in self._attempts.of_request(request):
@@ -98,12 +99,12 @@
         Returns the client, or None if the request is closed or the response of another attempt is being
         forwarded.
         """
-        request = self._requests.open.get(attempt.request_id)
+        request = self._requests.open_requests.get(attempt.request_id)
         if request is None or request.streaming_attempt is not None:
             return None
         request.streaming_attempt = attempt.number
         attempt.on_forwarding_started(self._clock.now())
-        # From now on stall detection limits the response in place of the deadline.
+        # From now on the duration of the response is limited by stall detection and not by the deadline.
         if request.guard_timer is not None:
             request.guard_timer.cancel()
         request.client.start_response(source, length, content_type)
@@ -113,7 +114,7 @@
     def on_attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """Finish the request if the outcome of this attempt decides it, and report the result."""
         self._attempts.remove(attempt)
-        request = self._requests.open.get(attempt.request_id)
+        request = self._requests.open_requests.get(attempt.request_id)
         is_final = request is None or self._finish_request(request, attempt, outcome)
         self._events.enqueue(
             AttemptEnded(
--- a/gateway/network/clients/connection.py
+++ b/gateway/network/clients/connection.py
@@ -31,15 +31,15 @@
 from gateway.network.clients.response_writer import CONTINUE, ResponseWriter
 from gateway.network.clients.upload import Upload
 
-# Bytes of a response that are buffered for a slow client; above this, the gateway stops reading the response
-# from the endpoint.
+# Maximum number of bytes that wait in the write buffer of a client connection before the gateway stops
+# reading the response from the endpoint. Reading continues once the client has read enough of them.
 MAX_RESPONSE_BACKLOG_BYTES = 64 * 1024
 
-# Milliseconds for which a connection is not read after its first rejected request. The pause doubles with
-# each further rejected request.
+# Milliseconds for which the gateway does not read from a connection after its first rejected request. The
+# pause doubles with each further rejected request on the connection, up to MAX_REJECTION_PAUSE_MS.
 MIN_REJECTION_PAUSE_MS = 50.0
 
-# Upper bound of the pause after a rejected request, in milliseconds.
+# Maximum time in milliseconds for which the gateway does not read from a connection after a rejected request.
 MAX_REJECTION_PAUSE_MS = 1000.0
 
 # Upper bound of the exponent in the pause MIN_REJECTION_PAUSE_MS * 2**exponent. It only keeps the power of
@@ -70,7 +70,7 @@
         """Start idle and without a transport, which the event loop passes to `connection_made`.
 
         Args:
-            handler: Handles the requests of the connection, and is told when its state changes.
+            handler: Handles the requests of the connection and the changes of its state.
             is_transferred: Whether the predecessor has handed the connection over.
         """
         self.is_transferred = is_transferred
@@ -116,8 +116,8 @@
     def data_received(self, data: bytes) -> None:
         """Process bytes from the client according to the state of the connection.
 
-        Bytes that follow a request before its response are read and discarded. If they stayed in the socket,
-        the gateway would not detect that the client closes the connection after them.
+        Bytes that arrive after a complete request and before its response are read and discarded. If they
+        stayed in the socket, the gateway would not detect that the client closes the connection.
         """
         if self.state is _CLOSING:
             self.received_while_closing = True
@@ -264,7 +264,7 @@
         The pause bounds the load that a client causes by repeating bad requests without delay. The connection
         closes if the client does not keep it alive, or if the gateway drains.
         """
-        if not self._keep_alive or self._handler.draining:
+        if not self._keep_alive or self._handler.is_draining:
             self._abort_request(status)
             return
         self._reset_request_state()
@@ -312,8 +312,8 @@
     ) -> None:
         """Write the complete response of the open request, unless the connection is closing.
 
-        The response may be sent while the body of the request is still being received. The rest of the body
-        is then discarded, or the connection closes.
+        The response may be sent while the body of the request is still being received. The remaining bytes of
+        the body are then discarded, or the connection closes.
         """
         self.request = None
         if self.transport.is_closing():
@@ -361,13 +361,13 @@
             self._discard_body()
 
     def _send_readiness(self) -> None:
-        if self._handler.ready:
+        if self._handler.is_ready:
             self._send_complete(HTTPStatus.OK, b"up\n", TEXT_PLAIN)
         else:
             self._send_complete(HTTPStatus.SERVICE_UNAVAILABLE, b"not up\n", TEXT_PLAIN)
 
     def start_response(self, source: ResponseSource, length: int | None, content_type: bytes) -> None:
-        """Write the head of a response; the parts of its body follow by `forward_part`.
+        """Write the head of a response; `forward_part` then writes the parts of its body.
 
         Args:
             source: The endpoint connection that is paused while the client reads too slowly.
@@ -409,7 +409,7 @@
             self._become_idle()
 
     def abort_response(self) -> None:
-        """Abort the connection during a forwarded response, so that the client detects the missing rest."""
+        """Abort the connection, so that the client detects that the forwarded response is incomplete."""
         self.request = None
         self.response_source = None
         self.abort()
@@ -417,14 +417,14 @@
     def _must_close(self) -> bool:
         """Return whether the connection closes after the current response."""
         is_ending = self.state is _PIPELINED or self.state is _CLOSING
-        return is_ending or self._handler.draining or not self._keep_alive
+        return is_ending or self._handler.is_draining or not self._keep_alive
 
     def _become_idle(self) -> None:
         self.state = _IDLE
         self._handler.on_connection_idle(self)
 
     def _discard_body(self) -> None:
-        """Read and discard the rest of a request whose response has been sent."""
+        """Start to discard the remaining bytes of a request whose response has been sent."""
         self.state = _DISCARDING
         self._upload = None
         self.set_body_paused(False)
@@ -454,14 +454,14 @@
     # -- the end of the connection
 
     def abort(self) -> None:
-        """Abort the connection without writing what is buffered."""
+        """Close the connection at once, and discard bytes that have not been written to the socket."""
         self.state = _CLOSING
         self.transport.abort()
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request on it is open, being received or unread in the socket.
 
-        If the connection closed during such a request, the client would have to send the request again.
+        If the connection closed during one of these requests, the client would have to send it again.
         """
         is_unused = self.state is _IDLE or self.state is _PAUSED
         if is_unused and not self.has_unread_input():
@@ -480,10 +480,10 @@
             self.close_if_idle()
 
     def _finish_and_linger(self, data: bytes) -> None:
-        """Write the last bytes and shut down the sending side, but continue to read for a while.
+        """Write the last bytes and shut down the sending side, but continue to read and discard input.
 
-        If the socket closed with unread input, the kernel would reset the connection, which could discard the
-        last bytes before the client has read them. The limiter ends the reading.
+        If the socket were closed with unread input, the kernel would reset the connection, and the client
+        could lose the last bytes. The connection limiter closes the connection after its linger timeout.
         """
         if self.transport.is_closing():
             return
@@ -493,9 +493,9 @@
         self.transport.resume_reading()
 
     def _close(self) -> None:
-        """Close the connection after all buffered bytes are written.
+        """Close the connection once all buffered bytes have been written.
 
-        The limiter aborts it if the client does not read them in time.
+        The connection limiter aborts it if the client does not read the bytes in time.
         """
         self._enter_closing()
         self.transport.close()
@@ -524,7 +524,7 @@
         return self.state is _CLOSING
 
     def is_transferable(self) -> bool:
-        """Return whether the connection is idle with all responses written, and can be handed over."""
+        """Return whether the connection can be handed over: it is idle, and all responses are written."""
         if self.state is not _IDLE or self.transport.is_closing():
             return False
         return not self.transport.get_write_buffer_size()
@@ -534,9 +534,10 @@
         return self.body_progress.is_overdue(now_ms, self.reader.body_size, timeout_ms, min_bytes_per_ms)
 
     def has_unread_input(self) -> bool:
-        """Return whether the socket holds unread bytes, or an unread end of the connection.
+        """Return whether the socket holds unread input: bytes, or the end of the client's input.
 
-        Always False during the pause after a rejected request, in which the gateway leaves input unread.
+        The result is always False during the pause after a rejected request, because the gateway leaves input
+        unread on purpose then.
         """
         if self.state is _PAUSED:
             return False
@@ -545,7 +546,7 @@
     def is_disconnected(self) -> bool:
         """Return whether the client has shut down its sending side.
 
-        The socket is polled, because the transport does not report the end while reading is paused.
+        The socket is polled, because the transport does not report a disconnect while reading is paused.
         """
         return self._has_socket_event(select.POLLRDHUP)
 
--- a/gateway/network/clients/request_handler.py
+++ b/gateway/network/clients/request_handler.py
@@ -36,11 +36,11 @@
     timers: Timers
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process is ready to serve clients."""
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether each connection must close after its current response."""
 
     @property
@@ -63,7 +63,7 @@
         """Close an open request whose client has disconnected; it gets no response."""
 
     def open_request(self, client: HandledConnection, received: ReceivedRequest) -> OpenRequest:
-        """Validate a request and open it; the response follows by the methods of `ClientChannel`.
+        """Validate a request and open it; its response is written by the methods of `ClientChannel`.
 
         Raises:
             BadRequestError: The request is rejected; the error has the status of the response.
--- a/gateway/network/discovery/backoff.py
+++ b/gateway/network/discovery/backoff.py
@@ -4,16 +4,17 @@
 
 import random
 
-# Maximum time in seconds until the gateway knows a change of the endpoint list, counted from when discovery
-# has the change and is reachable. It limits the sum of three times: the part of a failed call for which
-# discovery may have been reachable, the delay after this call, and the next call.
+# Maximum time in seconds from the moment when discovery has a change of the endpoint list and is reachable,
+# to the moment when the gateway knows the change. It limits the sum of three times: the part of a failed call
+# for which discovery may have been reachable, the delay after this call, and the duration of the next call.
 MAX_LIST_STALENESS_S = 5.7
 CALL_TIMEOUT_S = 2.2  # timeout in seconds of a call that does not wait for a change
 # Milliseconds for which a watch waits for a change, in a fleet of at most SMALL_FLEET_SIZE gateways.
 WATCH_TIMEOUT_MS = 5000
 SMALL_FLEET_SIZE = 5  # number of gateways up to which a fleet neither extends watches nor spreads retries
 MAX_WATCH_TIMEOUT_FACTOR = 8.0  # maximum factor by which a larger fleet extends WATCH_TIMEOUT_MS
-INITIAL_BACKOFF_S = 0.02  # seconds of backoff after the first failed call; doubles with each further failure
+# Backoff in seconds after the first failed call, before jitter. It doubles with each further failed call.
+INITIAL_BACKOFF_S = 0.02
 MAX_BACKOFF_S = 0.5  # maximum backoff in seconds, before jitter
 # Maximum number of times that the backoff and the spread interval double; both reach their maximum earlier.
 MAX_DOUBLINGS = 10
@@ -21,10 +22,12 @@
 MAX_BACKOFF_JITTER = 1.5  # largest random factor that is applied to the backoff
 # The retries of a fleet are spread over an interval of this many seconds per gateway beyond SMALL_FLEET_SIZE.
 SPREAD_PER_GATEWAY_S = 0.8
-# Seconds per gateway that replace SPREAD_PER_GATEWAY_S until a call has succeeded. The value doubles with
-# each failure. It starts smaller because the configured endpoint list may be outdated.
+# Until the first successful call, the spread interval has this many seconds per gateway beyond
+# SMALL_FLEET_SIZE. The value doubles with each failed call, up to SPREAD_PER_GATEWAY_S. It starts below that
+# value because the configured endpoint list, which the gateway uses until then, may be outdated.
 INITIAL_SPREAD_PER_GATEWAY_S = 0.25
-# Fraction of the spread interval before which neither the second nor a later retry after a success is made.
+# Fraction of the spread interval that elapses before a retry, except for the first retry after a successful
+# call.
 MIN_RETRY_JITTER = 0.8
 
 
@@ -33,8 +36,8 @@
 
     A shared discovery service processes one call at a time and rejects calls that have waited too long. A
     rejection costs the service as much as a response. If a fleet makes calls faster than the service
-    responds, all calls fail until the rate drops, so gateways spread their retries. An agent on the gateway's
-    own machine has no other caller, so longer delays would only make the endpoint list older.
+    responds, all calls fail until the rate drops. For this reason gateways spread their retries. An agent on
+    the machine of the gateway has no other caller: longer delays would only make the endpoint list older.
 
     The first retry after a success is made at a random time in the spread interval. Later retries are made
     near the end of the interval, which keeps the gateways apart with the fewest calls.
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -74,7 +74,7 @@
             self.clock,
             self.timers,
             self.metrics,
-            idle_ms=self.config.endpoint_idle_timeout_ms,
+            endpoint_idle_timeout_ms=self.config.endpoint_idle_timeout_ms,
             connect_timeout_ms=self.config.connect_timeout_ms,
             max_connections=max_upstream_connections(self.config.max_descriptors),
             report_fields=self.config.settings.report_fields,
@@ -106,7 +106,10 @@
         self.controller_loop.enqueue(EndpointUpdate(tuple(endpoints), endpoint_list.is_snapshot))
 
     def on_gossip(self, sender: int, data: bytes) -> None:
-        """Report a peer's datagram, and forward it to the predecessor, whose open requests it may concern."""
+        """Report a peer's datagram, and forward it to the predecessor, if one still runs.
+
+        The datagram may concern requests that are open in the predecessor.
+        """
         self.controller_loop.enqueue(GossipReceived(sender, data))
         predecessor = self.role.predecessor
         if predecessor is not None:
@@ -163,7 +166,7 @@
     # -- the admin endpoint
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this process is ready to serve clients."""
         return self.role.is_ready
 
@@ -171,7 +174,7 @@
         """Return the metrics in the text format of Prometheus."""
         listed, avoided = self.controller_loop.controller.endpoint_counts(self.clock.now())
         return self.metrics.text(
-            open_requests=len(self.requests.open), registry_entries=listed, out_of_rotation=avoided
+            open_requests=len(self.requests.open_requests), registry_entries=listed, out_of_rotation=avoided
         )
 
     # -- hot restart
@@ -205,13 +208,16 @@
         self._limit_descriptors(descriptors)
 
     def on_predecessor_ended(self) -> None:
-        """Use all descriptors of the limit, because the predecessor has released those that it held."""
+        """Use all descriptors of the configured limit, because the predecessor has released its own."""
         self.role.on_predecessor_ended()
         hot_restart.on_predecessor_ended(self.controller_loop.controller)
         self._limit_descriptors(self.config.max_descriptors)
 
     def on_successor_ended(self) -> bool:
-        """Serve again after the end of the successor, unless shutting down; return whether it serves."""
+        """Resume service after the end of the successor, unless this process is shutting down.
+
+        Returns whether this process serves again.
+        """
         self.role.on_successor_ended()
         if not self.role.is_ready:
             return False
@@ -241,7 +247,7 @@
 
     def has_open_work(self) -> bool:
         """Return whether a request or a client connection is still open."""
-        return bool(self.requests.open or self.connections)
+        return bool(self.requests.open_requests or self.connections)
 
     def continue_draining(self) -> bool:
         """Hand over or close the idle connections, and return whether a request or a connection is open.
--- a/gateway/network/process_role.py
+++ b/gateway/network/process_role.py
@@ -19,7 +19,7 @@
 
 
 class SiblingLink(Protocol):
-    """The link to a sibling: the predecessor or the successor of this process, of the same gateway."""
+    """The link to a sibling process of the gateway, which is the predecessor or the successor."""
 
     def send_gossip(self, sender: int, data: bytes) -> None:
         """Forward a datagram from the gateway with number `sender`; it may be lost, like any datagram."""
@@ -48,8 +48,8 @@
 class Retired:
     """The role of a process that finishes its open requests after a successor has taken over the service.
 
-    `gossip_link` is the link to the successor, or None once a predecessor of this process has ended in this
-    role.
+    `gossip_link` is the link to the successor. It is None if the predecessor of this process has ended after
+    this process entered the role.
     """
 
     successor: SuccessorLink
@@ -95,7 +95,7 @@
 
     @property
     def sibling(self) -> SiblingLink | None:
-        """The link for datagrams that this gateway addresses to itself, or None if no other process runs."""
+        """The link for datagrams that this gateway addresses to itself; None without another process."""
         if isinstance(self._role, Retired):
             return self._role.gossip_link
         return self.predecessor
--- a/gateway/network/request_table.py
+++ b/gateway/network/request_table.py
@@ -16,12 +16,12 @@
 from gateway.network.controller_loop import EventSink
 from gateway.network.recent_ids import RecentIds
 
-# Milliseconds by which the deadline that the controller works with is earlier than the client's deadline. The
-# margin covers the transmission of the response and the delay of timers.
+# Milliseconds by which the deadline that the controller receives is earlier than the client's deadline. The
+# time in between is for the transmission of the response and the delay of timers.
 DEADLINE_MARGIN_MS = 20.0
 
-# Milliseconds before the client's deadline at which the guard timer sends a response. It does so if the
-# request is still open then, for example because the controller has failed.
+# Milliseconds before the client's deadline at which the guard timer of a request expires. It sends a response
+# if the request is still open at that time, for example because the controller has failed.
 GUARD_MARGIN_MS = 5.0
 
 # Milliseconds between rotations of the recently used request ids. The id of an ended request is rejected for
@@ -45,7 +45,7 @@
         events: EventSink,
     ) -> None:
         """Create an empty table and start the rotation of request ids."""
-        self.open: dict[int, OpenRequest] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self.ids = RecentIds()
         self._clock = clock
         self._timers = timers
@@ -53,24 +53,26 @@
         self._attempts = attempts
         self._events = events
         self._last_id = 0
-        self._shutdown_end_ms = math.inf  # clock time by which the shutdown ends
+        self._shutdown_end_ms = math.inf  # clock time of the planned end of the shutdown
         timers.call_at(clock.now() + ID_ROTATION_INTERVAL_MS, self.rotate_ids)
 
     # -- acceptance
 
-    def add(self, client: ClientChannel, parsed: ValidatedRequest, received: ReceivedRequest) -> OpenRequest:
+    def add(
+        self, client: ClientChannel, validated: ValidatedRequest, received: ReceivedRequest
+    ) -> OpenRequest:
         """Open a request, which has to get exactly one response from now on.
 
         Raises:
-            BadRequestError: The id belongs to an open or recently ended request, so this one is a duplicate.
+            BadRequestError: The request is a duplicate: its id is that of an open or recently ended request.
         """
-        if parsed.id in self.ids:
+        if validated.id in self.ids:
             raise BadRequestError(
-                f"x-request-id {parsed.id.decode()} belongs to an open or recently ended request",
+                f"x-request-id {validated.id.decode()} belongs to an open or recently ended request",
                 HTTPStatus.CONFLICT,
             )
         head = upstream_head(
-            parsed,
+            validated,
             received.method,
             received.target,
             received.headers.get(b"content-type"),
@@ -79,23 +81,23 @@
         self._last_id += 1
         request = OpenRequest(
             self._last_id,
-            parsed.id,
-            parsed.request_class.name,
+            validated.id,
+            validated.request_class.name,
             client,
             head,
             received.body,
             received.upload,
-            parsed.wait_ms,
+            validated.wait_ms,
         )
-        self.open[request.id] = request
-        self.ids.add_open(parsed.id)
+        self.open_requests[request.id] = request
+        self.ids.add_open(validated.id)
         return request
 
     def deadline_at_ms(self, request: OpenRequest) -> float:
         """Return the clock time of the deadline of a request whose last byte has just been received.
 
-        It is the client's deadline or, if that is earlier, the end of this process's shutdown. The shutdown
-        does not shorten the remaining time below twice DEADLINE_MARGIN_MS.
+        The deadline is the client's deadline or, if it is earlier, the planned end of the shutdown of this
+        process. The shutdown does not shorten the remaining time below twice DEADLINE_MARGIN_MS.
         """
         now_ms = self._clock.now()
         return min(now_ms + request.wait_ms, max(self._shutdown_end_ms, now_ms + 2 * DEADLINE_MARGIN_MS))
@@ -107,7 +109,7 @@
         )
 
     def begin_shutdown(self, end_ms: float) -> None:
-        """Limit the deadlines of requests received from now on to the clock time `end_ms`."""
+        """Limit the deadlines of requests that are received from now on to the clock time `end_ms`."""
         self._shutdown_end_ms = end_ms
 
     # -- responses
@@ -127,13 +129,13 @@
         """
         if not self._close_request(request):
             return False
-        self._metrics.on_final_answer(request.class_name, outcome)
+        self._metrics.on_final_response(request.class_name, outcome)
         request.client.send_response(status, body, content_type, retry_after_ms)
         return True
 
     def reject(self, request_id: int, retry_after_ms: float) -> None:
         """Respond with 503 to a request that was not executed and may be retried, if it is open."""
-        request = self.open.get(request_id)
+        request = self.open_requests.get(request_id)
         if request is not None:
             self.send_response(
                 request,
@@ -144,7 +146,7 @@
 
     def fail(self, request_id: int) -> None:
         """Respond with 502 to a request that failed, if it is open."""
-        request = self.open.get(request_id)
+        request = self.open_requests.get(request_id)
         if request is not None:
             self.send_response(request, FinalStatus.FAULTED, HTTPStatus.BAD_GATEWAY)
 
@@ -155,7 +157,7 @@
         """
         self._close_request(request)
         outcome = FinalStatus.FULFILLED if is_complete else FinalStatus.FAULTED
-        self._metrics.on_final_answer(request.class_name, outcome)
+        self._metrics.on_final_response(request.class_name, outcome)
         if is_complete:
             request.client.finish_response()
         else:
@@ -176,7 +178,7 @@
 
         Returns False without any effect if the request is no longer open.
         """
-        if self.open.pop(request.id, None) is None:
+        if self.open_requests.pop(request.id, None) is None:
             return False
         self.ids.mark_ended(request.request_id)
         if request.guard_timer is not None:
@@ -191,16 +193,16 @@
     # -- periodic tasks
 
     def rotate_ids(self) -> None:
-        """Remove the ids of requests that ended before the previous rotation; schedule the next one."""
+        """Remove ids of requests that ended before the previous rotation, and schedule the next rotation."""
         self._timers.call_at(self._clock.now() + ID_ROTATION_INTERVAL_MS, self.rotate_ids)
         self.ids.rotate()
 
-    def drop_disconnected_uploads(self) -> None:
+    def close_disconnected_uploads(self) -> None:
         """Close the connections of clients that have disconnected during an upload.
 
         While reading of the body is paused, the event loop does not report that the client has disconnected.
         """
-        uploading = [request.client for request in self.open.values() if request.upload is not None]
+        uploading = [request.client for request in self.open_requests.values() if request.upload is not None]
         for client in uploading:
             if client.is_disconnected():
                 client.abort()
--- a/gateway/network/upstream/request_writer.py
+++ b/gateway/network/upstream/request_writer.py
@@ -26,7 +26,9 @@
 
 
 class RequestWriter:
-    """Writes requests to one connection, one at a time, with these transitions.
+    """Writes requests to one connection, one at a time, and tracks their transmission.
+
+    The state changes as follows:
 
     State     Input                      Next state
     --------  -------------------------  ----------
@@ -46,13 +48,13 @@
     __slots__ = ("_metrics", "_transport", "state")
 
     def __init__(self, transport: asyncio.WriteTransport, metrics: Metrics) -> None:
-        """Write to this transport, and count the sent requests in `metrics.relayed`."""
+        """Write to this transport, and count the sent requests in `metrics.forwarded_attempts`."""
         self.state = WriterState.IDLE
         self._transport = transport
         self._metrics = metrics
 
     @property
-    def blocked(self) -> bool:
+    def is_blocked(self) -> bool:
         """Whether the transport's write buffer is full."""
         return self.state is _BLOCKED or self.state is _FLUSHING
 
@@ -62,7 +64,7 @@
         return self.state is not _WRITTEN
 
     def start_request(self) -> None:
-        """Begin the next request; its parts follow."""
+        """Begin the next request; its bytes follow by `write_part` and `write_last`."""
         self.state = _WRITING
 
     def write_part(self, data: bytes) -> None:
