--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -5,7 +5,7 @@
 import select
 
 import pytest
-from support.gateway_steps import complete_request, sweep_after, until_connected
+from support.gateway_steps import complete_request, sweep_connections_after, until_connected
 from support.http_messages import http_request, http_response
 
 
@@ -83,12 +83,12 @@
     second = await running_gateway.connect()
     for connected in (client, second):
         await complete_request(endpoint, connected)
-    sweep_after(gateway, 1900)
+    sweep_connections_after(gateway, 1900)
     assert len(gateway.connections) == 2
-    sweep_after(gateway, 2100)
+    sweep_connections_after(gateway, 2100)
     assert await client.is_closed_by_peer()
     assert len(gateway.connections) == 1
-    sweep_after(gateway, 61_000)
+    sweep_connections_after(gateway, 61_000)
     assert await second.is_closed_by_peer()
 
 
@@ -99,8 +99,8 @@
     other = await running_gateway.connect()
     for connected in (client, other):
         await complete_request(endpoint, connected)
-    sweep_after(gateway, 300)
+    sweep_connections_after(gateway, 300)
     assert await client.is_closed_by_peer() and len(gateway.connections) == 1
-    sweep_after(gateway, 300)
+    sweep_connections_after(gateway, 300)
     other.send(http_request())
     assert not (await endpoint.next_request()).is_disconnect
--- a/tests/support/gateway_steps.py
+++ b/tests/support/gateway_steps.py
@@ -47,6 +47,6 @@
         await asyncio.sleep(0)
 
 
-def sweep_after(gateway, ms):
+def sweep_connections_after(gateway, ms):
     """Sweep the connections of clients as if this many ms had passed."""
     gateway.connections.sweep(gateway.clock.now() + ms, gateway.frontend.draining)
