--- a/tests/network/clients/test_connection_limiter.py
+++ b/tests/network/clients/test_connection_limiter.py
@@ -5,7 +5,7 @@
 import select
 
 import pytest
-from support.gateway_steps import complete_request, sweep_connections_after, until_connected
+from support.gateway_steps import complete_request, sweep_connections_after, wait_until_connected
 from support.http_messages import http_request, http_response
 
 
@@ -41,7 +41,7 @@
     if has_served:
         await complete_request(endpoint, client)
     else:
-        await until_connected(gateway, 1)
+        await wait_until_connected(gateway, 1)
     (connection,) = gateway.connections.open_connections
     send_without_reading(client, connection)
     if close == "draining":
@@ -59,7 +59,7 @@
     endpoint, gateway, running_gateway, client
 ):
     limiter = gateway.connections
-    await until_connected(gateway, 1)
+    await wait_until_connected(gateway, 1)
     others = [await running_gateway.connect() for _ in range(limiter.max_admitted + 20)]
     late = (await running_gateway.connect()).send(http_request())
     while True:  # above the limit the gateway closes a new connection, and the client connects again
--- a/tests/network/clients/test_timeouts.py
+++ b/tests/network/clients/test_timeouts.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.gateway_steps import sweep_connections_after, until_connected
+from support.gateway_steps import sweep_connections_after, wait_until_connected
 from support.http_messages import http_request
 
 from gateway.network.clients.connection_limiter import SWEEP_INTERVAL_MS
@@ -25,7 +25,7 @@
     client.send(sent)
     while sent and not any(connection.reader.raw_size for connection in gateway.connections.open_connections):
         await asyncio.sleep(0)
-    await until_connected(gateway, 1)
+    await wait_until_connected(gateway, 1)
     sweep_connections_after(gateway, 2000)
     (connection,) = gateway.connections.open_connections
     assert not connection.is_closing
--- a/tests/support/gateway_steps.py
+++ b/tests/support/gateway_steps.py
@@ -41,7 +41,7 @@
     return due, release
 
 
-async def until_connected(gateway, count):
+async def wait_until_connected(gateway, count):
     """Return once the gateway has accepted this many connections."""
     while len(gateway.connections) < count:
         await asyncio.sleep(0)
