--- a/tests/support/gateway_steps.py
+++ b/tests/support/gateway_steps.py
@@ -15,7 +15,7 @@
     return writer
 
 
-def connect_endpoints_by(gateway, create_connection):
+def replace_create_connection(gateway, create_connection):
     """Let the gateway open its connections to endpoints by this function in place of the event loop's."""
     loop = asyncio.get_running_loop()
     gateway.upstreams._loop = types.SimpleNamespace(
@@ -37,7 +37,7 @@
         await release.wait()
         return await loop.create_connection(factory, host, port)
 
-    connect_endpoints_by(gateway, connect_later)
+    replace_create_connection(gateway, connect_later)
     return due, release
 
 
