--- a/tests/policy/quota/test_accounts.py
+++ b/tests/policy/quota/test_accounts.py
@@ -4,8 +4,8 @@
     SIX_ENDPOINTS,
     arrival,
     attempt_ended,
+    index_by_name,
     new_controller,
-    rows_by_name,
     sends_in,
 )
 
@@ -29,7 +29,7 @@
     controller.handle(1002, [attempt_ended(send, AttemptResult.OK) for send in sends[1:]])
     assert len(sends) >= 9 and len(accounts) == len(buckets) == 1
 
-    refill_s = 12 / rows_by_name(controller.settings.plans)["rated"].rate_per_s
+    refill_s = 12 / index_by_name(controller.settings.plans)["rated"].rate_per_s
     drop_idle_state(controller, 1000 + refill_s * 500)
     assert len(accounts) == len(buckets) == 1  # both are half full
 
--- a/tests/policy/quota/test_leader.py
+++ b/tests/policy/quota/test_leader.py
@@ -5,11 +5,11 @@
     arrival,
     datagrams_in,
     entries_in,
+    index_by_name,
     leader_of,
     new_controller,
     quota_entry,
     rejections_in,
-    rows_by_name,
     sends_in,
 )
 
@@ -77,7 +77,7 @@
     assert len(sent) >= 7 and len(rejected) + len(sent) + len(queued) == 40
     assert len(rejected) > len(queued)
     assert all(rejection.retry_after_ms >= 250 for rejection in rejected if rejection.retry_after_ms)
-    look = rows_by_name(controller.settings.classes)["look"]
+    look = index_by_name(controller.settings.classes)["look"]
     timers = controller.context.timers
     for _ in range(200):  # until the queued lease requests have expired
         if timers.first_at_ms > 1001 + look.latency_objective_ms * (1 - 0.45) + 10:
--- a/tests/policy/requests/test_attempts.py
+++ b/tests/policy/requests/test_attempts.py
@@ -9,9 +9,9 @@
     arrival,
     attempt_ended,
     failures_in,
+    index_by_name,
     new_controller,
     rejections_in,
-    rows_by_name,
     sends_in,
 )
 from support.policy_settings import settings
@@ -41,7 +41,7 @@
     ended = attempt_ended(second, AttemptResult.RESET, attempt=1)
     (third,) = sends_in(controller.handle(1100, [ended]))
     assert (first.send_by_ms, second.send_by_ms) == (math.inf, math.inf)
-    window_ms = rows_by_name(controller.settings.classes)["hold"].deduplication_window_ms
+    window_ms = index_by_name(controller.settings.classes)["hold"].deduplication_window_ms
     assert third.send_by_ms == 1050 + window_ms - controller.settings.tick_ms
 
 
--- a/tests/support/policy_events.py
+++ b/tests/support/policy_events.py
@@ -81,6 +81,6 @@
     return first + codec.customer_tag(customer) % spread
 
 
-def rows_by_name(rows):
+def index_by_name(rows):
     """Return plans or classes by their names."""
     return {row.name: row for row in rows}
