--- a/tests/policy/endpoints/test_directory.py
+++ b/tests/policy/endpoints/test_directory.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support.policy_events import SIX_ENDPOINTS, actions_of, attempt_ended, new_controller, sends_in
+from support.policy_events import SIX_ENDPOINTS, actions_of_type, attempt_ended, new_controller, sends_in
 from support.policy_settings import settings
 
 from gateway.interface.actions import SubscribeEndpoints
@@ -110,6 +110,6 @@
 
 def test_failed_subscription_is_repeated():
     controller = new_controller(must_subscribe=True, poll_within_ms=4000)
-    assert actions_of(SubscribeEndpoints, controller.handle(1000, [SIX_ENDPOINTS]))
+    assert actions_of_type(SubscribeEndpoints, controller.handle(1000, [SIX_ENDPOINTS]))
     controller.handle(1010, [EndpointUpdate((), failed=True)])
-    assert actions_of(SubscribeEndpoints, controller.handle(2100, [TimerFired("agenda")]))
+    assert actions_of_type(SubscribeEndpoints, controller.handle(2100, [TimerFired("agenda")]))
--- a/tests/policy/requests/test_streamed_requests.py
+++ b/tests/policy/requests/test_streamed_requests.py
@@ -1,7 +1,7 @@
 """Tests of requests whose body is forwarded while it is received."""
 
 import pytest
-from support.policy_events import SIX_ENDPOINTS, actions_of, new_controller, sends_in
+from support.policy_events import SIX_ENDPOINTS, actions_of_type, new_controller, sends_in
 
 from gateway.interface.actions import Fail, Reject, SendAttempt
 from gateway.interface.events import (
@@ -25,10 +25,10 @@
     assert [send.id for send in sends_in(first)] == [1]
     for step in range(1, 1000):  # 4 s, which is beyond the deadline of the arrival
         actions = controller.handle(step * 4.0, [])
-        assert not actions_of(SendAttempt | Fail | Reject, actions)
+        assert not actions_of_type(SendAttempt | Fail | Reject, actions)
     controller.handle(4000.0, [BodyReleased(1), RequestCompleted(1, 5500.0)])
     late = [action for step in range(1001, 1400) for action in controller.handle(step * 4.0, [])]
-    assert [type(action) for action in actions_of(SendAttempt | Fail | Reject, late)] == [Reject]
+    assert [type(action) for action in actions_of_type(SendAttempt | Fail | Reject, late)] == [Reject]
 
 
 @pytest.mark.parametrize(("released", "expected"), [(False, SendAttempt), (True, Reject)])
@@ -37,7 +37,7 @@
     (send,) = sends_in(controller.handle(0.0, [SIX_ENDPOINTS, incomplete_arrival(1)]))
     ended = AttemptEnded(1, 0, send.endpoint, 1.0, AttemptResult.CONNECT_FAILED, False)
     actions = controller.handle(4.0, [BodyReleased(1), ended] if released else [ended])
-    assert [type(action) for action in actions_of(SendAttempt | Reject, actions)] == [expected]
+    assert [type(action) for action in actions_of_type(SendAttempt | Reject, actions)] == [expected]
 
 
 def test_streamed_request_counts_as_in_flight_only_while_its_endpoint_executes_it():
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -4,7 +4,7 @@
 
 from support.policy_events import (
     SIX_ENDPOINTS,
-    actions_of,
+    actions_of_type,
     arrival,
     attempt_ended,
     datagrams_in,
@@ -45,7 +45,7 @@
     controller.handle(1003, [arrival(4)])
     assert 4 in controller.flow.open_requests  # queued, because there is no endpoint
     (send,) = sends_in(controller.handle(1004, [SIX_ENDPOINTS]))
-    cancellations = actions_of(CancelAttempt, controller.handle(1005, [ClientDisconnected(4)]))
+    cancellations = actions_of_type(CancelAttempt, controller.handle(1005, [ClientDisconnected(4)]))
     assert cancellations == [CancelAttempt(4, 0)]
     assert controller.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
     ends = [
--- a/tests/support/policy_events.py
+++ b/tests/support/policy_events.py
@@ -34,34 +34,34 @@
     return AttemptEnded(send.id, attempt, send.endpoint, duration_ms, result, final)
 
 
-def actions_of(kind, actions):
+def actions_of_type(kind, actions):
     """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def sends_in(actions):
     """Return the actions that send an attempt."""
-    return actions_of(SendAttempt, actions)
+    return actions_of_type(SendAttempt, actions)
 
 
 def rejections_in(actions):
     """Return the actions that reject a request."""
-    return actions_of(Reject, actions)
+    return actions_of_type(Reject, actions)
 
 
 def failures_in(actions):
     """Return the actions that fail a request."""
-    return actions_of(Fail, actions)
+    return actions_of_type(Fail, actions)
 
 
 def datagrams_in(actions):
     """Return the actions that send a datagram."""
-    return actions_of(SendGossip, actions)
+    return actions_of_type(SendGossip, actions)
 
 
 def timers_in(actions):
     """Return the actions that request a wake-up."""
-    return actions_of(SetTimer, actions)
+    return actions_of_type(SetTimer, actions)
 
 
 def entries_in(datagrams):
