--- a/tests/policy/endpoints/test_slow_start.py
+++ b/tests/policy/endpoints/test_slow_start.py
@@ -96,4 +96,4 @@
     fleet = ColdFleet(gateways, 2, warm, known)
     fleet.run()
     assert any(fleet.sent_ms.values())  # an endpoint without an attempt would stay cold
-    assert fleet.excess() <= 0
+    assert fleet.max_excess_attempts() <= 0
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -80,7 +80,7 @@
                 for action in self.controllers[gateway].handle(self.now, events):
                     self._carry_out(gateway, action)
 
-    def excess(self):
+    def max_excess_attempts(self):
         """Return by how many attempts a cold endpoint got too many at the most.
 
         That is beyond what the settings allow in a window, and what chance may add. Each window begins
