--- a/tests/policy/test_rule_checker.py
+++ b/tests/policy/test_rule_checker.py
@@ -61,8 +61,8 @@
 
 def test_open_request_is_overdue_after_its_deadline_and_the_clock_slack():
     checker = checker_with("look")
-    assert not checker.overdue(DEADLINE_AT_MS + CLOCK_SLACK_MS)
-    assert checker.overdue(DEADLINE_AT_MS + CLOCK_SLACK_MS + 1) == [1]
+    assert not checker.overdue_requests(DEADLINE_AT_MS + CLOCK_SLACK_MS)
+    assert checker.overdue_requests(DEADLINE_AT_MS + CLOCK_SLACK_MS + 1) == [1]
 
 
 def test_repetition_of_a_non_idempotent_request_raises_unless_proved_not_executed():
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -132,6 +132,6 @@
             "rule 2: rejected though it may have been executed"
         )
 
-    def overdue(self, now):
+    def overdue_requests(self, now):
         """Return the open requests whose deadline has passed."""
         return [n for n in self.open if self.deadline_at_ms(n) + CLOCK_SLACK_MS < now]
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -112,7 +112,7 @@
                 self._disconnect_client()
             self._deliver_due_events()
             self._take_turns()
-            overdue = [n for n in self.checker.overdue(self.now) if n not in self.streaming]
+            overdue = [n for n in self.checker.overdue_requests(self.now) if n not in self.streaming]
             assert not overdue, f"rule 1: no answer for {overdue[:3]}"
             assert self.now < end_ms + MAX_DRAIN_MS
 
