--- a/tests/policy/test_rule_checker.py
+++ b/tests/policy/test_rule_checker.py
@@ -56,7 +56,7 @@
 def test_streamed_response_may_end_after_the_deadline():
     checker = checker_with("feed")
     checker.on_success(DEADLINE_AT_MS + 1000, 1)
-    assert not checker.open
+    assert not checker.open_requests
 
 
 def test_open_request_is_overdue_after_its_deadline_and_the_clock_slack():
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -37,7 +37,7 @@
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
         self.requests = {}
-        self.open = {}  # ids of open requests, and the gateways that serve them
+        self.open_requests = {}  # ids of open requests, and the gateways that serve them
         self.done = set()
         self.ceilings = {}  # level and time of each customer's bucket
 
@@ -51,18 +51,20 @@
 
     def on_arrival(self, gateway, arrival):
         """Begin to check a request, which arrived at this gateway."""
-        self.open[arrival.id] = gateway
+        self.open_requests[arrival.id] = gateway
         self.requests[arrival.id] = CheckedRequest(arrival)
 
     def on_gateway_killed(self, gateway):
         """End the requests of a gateway, whose clients lose their connections."""
-        for request_id in [request_id for request_id, owner in self.open.items() if owner == gateway]:
+        for request_id in [
+            request_id for request_id, owner in self.open_requests.items() if owner == gateway
+        ]:
             self.close(request_id)
 
     def close(self, request_id):
         """End a request without a check, and return the gateway that served it."""
         self.done.add(request_id)
-        return self.open.pop(request_id)
+        return self.open_requests.pop(request_id)
 
     def on_not_executed(self, request_id, attempt):
         """Note the proof that an attempt was not executed."""
@@ -70,7 +72,7 @@
 
     def on_send(self, now, action, endpoint, withdrawn_ms):
         """Check an attempt at an endpoint, which the gateway may know to be withdrawn since some time."""
-        assert action.id in self.open, f"rule 1: {action.id} sent after its end"
+        assert action.id in self.open_requests, f"rule 1: {action.id} sent after its end"
         assert withdrawn_ms is None or now <= withdrawn_ms + DRAIN_GRACE_MS, (
             "rule 3: sent to a draining endpoint"
         )
@@ -134,4 +136,4 @@
 
     def overdue_requests(self, now):
         """Return the open requests whose deadline has passed."""
-        return [n for n in self.open if self.deadline_at_ms(n) + CLOCK_SLACK_MS < now]
+        return [n for n in self.open_requests if self.deadline_at_ms(n) + CLOCK_SLACK_MS < now]
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -104,11 +104,11 @@
     def run(self, duration_ms):
         """Simulate this time, and then the time until every request has ended."""
         end_ms = self.now + duration_ms
-        while self.now < end_ms or self.checker.open:
+        while self.now < end_ms or self.checker.open_requests:
             self.now += TICK_MS
             if self.now < end_ms:
                 self._add_random_events()
-            if self.checker.open and self._happens(self.disconnect_probability):
+            if self.checker.open_requests and self._happens(self.disconnect_probability):
                 self._disconnect_client()
             self._deliver_due_events()
             self._take_turns()
@@ -162,7 +162,7 @@
         self._start(gateway)
 
     def _disconnect_client(self):
-        request_id = self.rng.choice(list(self.checker.open))
+        request_id = self.rng.choice(list(self.checker.open_requests))
         gateway = self.checker.close(request_id)
         self.streaming.discard(request_id)
         self.inboxes[gateway].append(ClientDisconnected(request_id))
@@ -180,7 +180,7 @@
             self._end_attempt(gateway, event)
         elif not isinstance(event, ResponseStarted):
             self.inboxes[gateway].append(event)
-        elif event.id in self.checker.open and AttemptId(event.id, event.attempt) in self.attempts:
+        elif event.id in self.checker.open_requests and AttemptId(event.id, event.attempt) in self.attempts:
             self.streaming.add(event.id)
             self.inboxes[gateway].append(event)
 
@@ -192,10 +192,10 @@
         if outcome.result.proves_not_executed:
             self.checker.on_not_executed(request_id, attempt)
         is_success = outcome.result is AttemptResult.OK or request_id in self.streaming
-        if request_id in self.checker.open and is_success:
+        if request_id in self.checker.open_requests and is_success:
             self.streaming.discard(request_id)
             self.checker.on_success(self.now, request_id)
-        is_final = request_id not in self.checker.open
+        is_final = request_id not in self.checker.open_requests
         duration_ms = self.now - ended.sent_ms
         queue_length = self.rng.choice((0, 1, 3))
         self.inboxes[gateway].append(
@@ -250,7 +250,7 @@
         self._schedule(duration_ms, gateway, AttemptOutcome(id_, result))
 
     def _answer(self, action):
-        if action.id not in self.checker.open:
+        if action.id not in self.checker.open_requests:
             return
         assert action.id not in self.streaming, "rule 1: a started stream was ended"
         if isinstance(action, Reject):
