--- a/tests/policy/test_rule_checker.py
+++ b/tests/policy/test_rule_checker.py
@@ -109,7 +109,7 @@
     if class_name != "look":
         checker.on_not_executed(1, 0)
     checker.on_rejection(NOW + 10, 1, 0.0)
-    assert checker.done == {1}
+    assert checker.ended_requests == {1}
 
 
 def test_rejection_of_a_possibly_executed_request_with_a_global_key_is_allowed_only_within_its_window():
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -10,7 +10,7 @@
 def test_rules_hold_with_random_events_and_datagram_loss(seed):
     fleet = SimulatedFleet(seed, gateways=2 + seed % 3, loss_probability=(0.1, 0.5, 1.0)[seed % 3])
     fleet.run(20_000)
-    assert len(fleet.checker.done) > 1000
+    assert len(fleet.checker.ended_requests) > 1000
     assert sum(len(request.attempts) > 1 for request in fleet.checker.requests.values()) > 20
 
 
@@ -49,7 +49,7 @@
 def test_rules_hold_with_unusual_settings(setting_changes):
     fleet = SimulatedFleet(5, arrivals_per_s=400, **setting_changes)
     fleet.run(8000)
-    assert len(fleet.checker.done) > 2000
+    assert len(fleet.checker.ended_requests) > 2000
 
 
 def test_rules_hold_when_gateways_are_killed_often():
--- a/tests/support/rule_checker.py
+++ b/tests/support/rule_checker.py
@@ -38,7 +38,7 @@
         self.plans = {plan.name: plan for plan in settings.plans}
         self.requests = {}
         self.open_requests = {}  # ids of open requests, and the gateways that serve them
-        self.done = set()
+        self.ended_requests = set()
         self.ceilings = {}  # level and time of each customer's bucket
 
     def class_of(self, request_id):
@@ -63,7 +63,7 @@
 
     def close(self, request_id):
         """End a request without a check, and return the gateway that served it."""
-        self.done.add(request_id)
+        self.ended_requests.add(request_id)
         return self.open_requests.pop(request_id)
 
     def on_not_executed(self, request_id, attempt):
