--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -49,7 +49,7 @@
     watches = [
         simulate_watch(monkeypatch, overloaded_for_30_s, fleet_size=fleet, seed=seed) for seed in range(fleet)
     ]
-    calls_s = [watch.began_s[1:-1] for watch in watches]
+    calls_s = [watch.call_starts_s[1:-1] for watch in watches]
     assert len({calls[1] for calls in calls_s}) == fleet
     gaps_s = [after - before for calls in calls_s for before, after in itertools.pairwise(calls)]
     if fleet <= 3:
@@ -100,13 +100,13 @@
             monkeypatch, respond, fleet_size=fleet, seed=seed, is_pushed=pushed, drain_grace_s=2.0
         )
         # The first call without a response is a watch, which fails after its timeout and up to 2 s more.
-        silent_s = watch.began_s[2] - 1.02 if duration_s is UNTIL_TIMEOUT else 0.0
+        silent_s = watch.call_starts_s[2] - 1.02 if duration_s is UNTIL_TIMEOUT else 0.0
         # If discovery takes 2 s to reject a call, it counts as reachable from the end of its last rejection.
         reachable_s = (
-            max(reachable_from_s, watch.began_s[-2] + duration_s) if duration_s else reachable_from_s
+            max(reachable_from_s, watch.call_starts_s[-2] + duration_s) if duration_s else reachable_from_s
         )
         latest_s = max(reachable_s + 6.0, silent_s + 2.0 + 2.2 * (not pushed))
-        assert watch.succeeded_s[1] <= latest_s, (seed, reachable_s, watch.began_s)
+        assert watch.succeeded_s[1] <= latest_s, (seed, reachable_s, watch.call_starts_s)
 
 
 async def run_failing_watch(monkeypatch, **options):
--- a/tests/support/simulated_watch.py
+++ b/tests/support/simulated_watch.py
@@ -29,7 +29,7 @@
     def __init__(self, respond):
         self.respond = respond
         self.now_s = 0.0
-        self.began_s = []  # of all calls
+        self.call_starts_s = []  # of all calls
         self.succeeded_s = []  # ends of the successful calls
 
     def time(self):
@@ -42,7 +42,7 @@
 
     async def call(self, _target, timeout_s):
         """Stand for a call at the discovery service."""
-        self.began_s.append(self.now_s)
+        self.call_starts_s.append(self.now_s)
         outcome = self.respond(self.now_s, timeout_s)
         self.now_s += outcome.duration_s
         if isinstance(outcome.result, Exception):
