--- a/tests/network/discovery/test_backoff.py
+++ b/tests/network/discovery/test_backoff.py
@@ -77,7 +77,7 @@
             return CallOutcome(OVERLOADED, 2.0)
 
         watch = simulate_watch(monkeypatch, respond, fleet_size=fleet, seed=seed)
-        assert watch.succeeded_s[1] <= rejected_s[0] + 6.0
+        assert watch.success_ends_s[1] <= rejected_s[0] + 6.0
 
 
 @pytest.mark.parametrize("failure", FAILURES)
@@ -106,7 +106,7 @@
             max(reachable_from_s, watch.call_starts_s[-2] + duration_s) if duration_s else reachable_from_s
         )
         latest_s = max(reachable_s + 6.0, silent_s + 2.0 + 2.2 * (not pushed))
-        assert watch.succeeded_s[1] <= latest_s, (seed, reachable_s, watch.call_starts_s)
+        assert watch.success_ends_s[1] <= latest_s, (seed, reachable_s, watch.call_starts_s)
 
 
 async def run_failing_watch(monkeypatch, **options):
--- a/tests/support/simulated_watch.py
+++ b/tests/support/simulated_watch.py
@@ -30,7 +30,7 @@
         self.respond = respond
         self.now_s = 0.0
         self.call_starts_s = []  # of all calls
-        self.succeeded_s = []  # ends of the successful calls
+        self.success_ends_s = []  # ends of the successful calls
 
     def time(self):
         """Return the simulated time, as an event loop does."""
@@ -47,8 +47,8 @@
         self.now_s += outcome.duration_s
         if isinstance(outcome.result, Exception):
             raise outcome.result
-        self.succeeded_s.append(self.now_s)
-        if len(self.succeeded_s) == 2:
+        self.success_ends_s.append(self.now_s)
+        if len(self.success_ends_s) == 2:
             raise asyncio.CancelledError
         return outcome.result
 
