--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -5,7 +5,7 @@
 import pytest
 import pytest_asyncio
 from support.configurations import endpoint_entry
-from support.processes import kill, send_endpoint_list, start_process, until_ready
+from support.processes import kill, send_endpoint_list, start_process, wait_until_ready
 
 START_TIMEOUT_S = 30.0  # from the start of a process to its readiness
 
@@ -23,7 +23,7 @@
     try:
         async with asyncio.timeout(START_TIMEOUT_S):
             await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
-            await until_ready(port)
+            await wait_until_ready(port)
         yield process
     finally:
         await kill(process)
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -20,7 +20,7 @@
     kill,
     open_descriptors,
     start_process,
-    until_ready,
+    wait_until_ready,
 )
 
 FLEET_SIZE = 1024  # number of gateways, and of endpoints
@@ -90,7 +90,7 @@
         _, writer = await discovery_service.next_call()
         snapshot = endpoint_list(*endpoints, endpoint_entry("one-more", 4999), index=2)
         writer.write(json_response(snapshot))
-        await until_ready(port)
+        await wait_until_ready(port)
         assert peak_resident_kb(process) < MAX_RESIDENT_KB
         assert open_descriptors(process) < MAX_OPEN_DESCRIPTORS
     finally:
@@ -108,7 +108,7 @@
     config_path.write_text(json.dumps(value))
     process = await start_process(config_path, preexec_fn=limit_descriptors)
     try:
-        await until_ready(port)
+        await wait_until_ready(port)
         cpu_time_before_s = cpu_time_s(process)
         began_s = loop.time()
         with idle_clients(port, 400):
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -16,7 +16,7 @@
     kill,
     send_endpoint_list,
     start_process,
-    until_ready,
+    wait_until_ready,
 )
 
 LARGE_FLEET_SIZE = 230  # number of gateways
@@ -45,7 +45,7 @@
             pass  # skip the watch of the killed process
         # The first call of the new process got no response; it times out, and the process calls again.
         await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
-        await until_ready(port)
+        await wait_until_ready(port)
     finally:
         await kill(restarted)
 
@@ -70,7 +70,7 @@
     config_path.write_text(json.dumps(configuration(discovery_service.port, port, known=known)))
     process = await start_process(config_path)
     try:
-        await until_ready(port)
+        await wait_until_ready(port)
         await complete_request(endpoint, await TestClient().connect(port))
     finally:
         await kill(process)
@@ -116,7 +116,7 @@
     process = await start_process(config_path)
     try:
         async with asyncio.timeout(MAX_START_S):
-            await until_ready(port)
+            await wait_until_ready(port)
         client = await TestClient().connect(port)
         await complete_request(endpoint, client)
         if failing:
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -45,7 +45,7 @@
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
-async def until_ready(port):
+async def wait_until_ready(port):
     """Return once the gateway at this port answers that it is ready."""
     while True:
         try:
