--- a/tests/compatibility/test_hot_restart.py
+++ b/tests/compatibility/test_hot_restart.py
@@ -12,7 +12,7 @@
 from support.client import TestClient
 from support.configurations import endpoint_entry
 from support.http_messages import http_request, http_response
-from support.processes import kill, send_endpoint_list, start_process
+from support.processes import kill_process, send_endpoint_list, start_process
 from support.recordings import FIXTURES
 
 MAX_PACKET_BYTES = 64 * 1024
@@ -56,7 +56,7 @@
 
     yield launch
     for process in processes:
-        await kill(process)
+        await kill_process(process)
 
 
 @pytest.fixture
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -5,7 +5,7 @@
 import pytest
 import pytest_asyncio
 from support.configurations import endpoint_entry
-from support.processes import kill, send_endpoint_list, start_process, wait_until_ready
+from support.processes import kill_process, send_endpoint_list, start_process, wait_until_ready
 
 START_TIMEOUT_S = 30.0  # from the start of a process to its readiness
 
@@ -26,4 +26,4 @@
             await wait_until_ready(port)
         yield process
     finally:
-        await kill(process)
+        await kill_process(process)
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -17,7 +17,7 @@
 from support.processes import (
     fleet_configuration,
     free_port,
-    kill,
+    kill_process,
     open_descriptors,
     start_process,
     wait_until_ready,
@@ -94,7 +94,7 @@
         assert peak_resident_kb(process) < MAX_RESIDENT_KB
         assert open_descriptors(process) < MAX_OPEN_DESCRIPTORS
     finally:
-        await kill(process)
+        await kill_process(process)
 
 
 async def test_idle_clients_leave_descriptors_for_discovery_and_admin_endpoint(tmp_path, port):
@@ -124,4 +124,4 @@
             assert process.returncode is None
             assert cpu_time_s(process) - cpu_time_before_s < 0.5 + (loop.time() - began_s) / 2
     finally:
-        await kill(process)
+        await kill_process(process)
--- a/tests/process/test_signals.py
+++ b/tests/process/test_signals.py
@@ -13,7 +13,7 @@
 from support.fake_discovery import FakeDiscovery
 from support.fake_endpoint import FakeEndpoint
 from support.http_messages import http_request, http_response, json_response
-from support.processes import READINESS_REQUEST, kill, start_process
+from support.processes import READINESS_REQUEST, kill_process, start_process
 
 SIGNAL_INTERVAL_S = 0.0005  # between the signals sent to a process that shuts down
 
@@ -107,4 +107,4 @@
         _, output = await process.communicate()
         assert process.returncode == 0 and b": shutdown complete" in output and b"Traceback" not in output
     finally:
-        await kill(process)
+        await kill_process(process)
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -13,7 +13,7 @@
 from support.processes import (
     fleet_configuration,
     free_port,
-    kill,
+    kill_process,
     send_endpoint_list,
     start_process,
     wait_until_ready,
@@ -47,7 +47,7 @@
         await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
         await wait_until_ready(port)
     finally:
-        await kill(restarted)
+        await kill_process(restarted)
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
         await wait_until_ready(port)
         await complete_request(endpoint, await TestClient().connect(port))
     finally:
-        await kill(process)
+        await kill_process(process)
 
 
 async def fail_each_call(discovery_service, fault):
@@ -125,4 +125,4 @@
                 await replace_endpoint(discovery_service, endpoint, replacement)
             await complete_request(replacement, client)
     finally:
-        await kill(process)
+        await kill_process(process)
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -33,7 +33,7 @@
     )
 
 
-async def kill(process):
+async def kill_process(process):
     """Kill the process unless it has ended, and wait for its end."""
     if process.returncode is None:
         process.kill()
