--- a/tests/network/hot_restart/test_hot_restart.py
+++ b/tests/network/hot_restart/test_hot_restart.py
@@ -13,7 +13,7 @@
 from support.client import TestClient
 from support.configurations import configuration, endpoint_entry, endpoint_list
 from support.http_messages import http_request, http_response, json_response
-from support.processes import free_port, open_descriptors, start_process
+from support.processes import free_port, open_descriptor_count, start_process
 
 READINESS_REQUEST = b"GET /_ready HTTP/1.1\r\nHost: h\r\n\r\n"
 POLL_INTERVAL_S = 0.01
@@ -178,11 +178,11 @@
 async def test_open_descriptors_of_both_processes_stay_within_twice_the_number_before(deployment):
     old, _ = await deployment.start()
     clients = [await deployment.connect() for _ in range(20)]
-    before = open_descriptors(old)
+    before = open_descriptor_count(old)
     new, _ = await deployment.start()
-    while open_descriptors(old) > before - 20:
+    while open_descriptor_count(old) > before - 20:
         await asyncio.sleep(POLL_INTERVAL_S)
-    assert open_descriptors(old) + open_descriptors(new) <= 2 * before
+    assert open_descriptor_count(old) + open_descriptor_count(new) <= 2 * before
     for client in clients:
         assert (await deployment.complete_request(client))[0].status == 200
 
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -18,7 +18,7 @@
     fleet_configuration,
     free_port,
     kill_process,
-    open_descriptors,
+    open_descriptor_count,
     start_process,
     wait_until_ready,
 )
@@ -92,7 +92,7 @@
         writer.write(json_response(snapshot))
         await wait_until_ready(port)
         assert peak_resident_kb(process) < MAX_RESIDENT_KB
-        assert open_descriptors(process) < MAX_OPEN_DESCRIPTORS
+        assert open_descriptor_count(process) < MAX_OPEN_DESCRIPTORS
     finally:
         await kill_process(process)
 
@@ -112,7 +112,7 @@
         cpu_time_before_s = cpu_time_s(process)
         began_s = loop.time()
         with idle_clients(port, 400):
-            while open_descriptors(process) < 100:  # clients may hold 117 at most
+            while open_descriptor_count(process) < 100:  # clients may hold 117 at most
                 await asyncio.sleep(0)
             assert await endpoints_in_metrics(admin_port) == 1
             async with FakeDiscovery(discovery_port) as discovery_service, asyncio.timeout(6):
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -40,7 +40,7 @@
         await process.wait()
 
 
-def open_descriptors(process):
+def open_descriptor_count(process):
     """Return how many descriptors the process has open."""
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
