--- a/tests/compatibility/test_admin.py
+++ b/tests/compatibility/test_admin.py
@@ -5,7 +5,7 @@
 from support.configurations import endpoint_entry
 from support.fake_endpoint import FakeEndpoint
 from support.http_messages import http_request, http_response
-from support.recordings import check_json_recording, raw_response
+from support.recordings import check_json_recording, fetch_raw_response
 from support.running_gateway import RunningGateway
 
 from gateway.network.process_role import ServicePhase
@@ -30,7 +30,7 @@
             _, writer = await endpoint.next_request()
             writer.write(http_response())
             await client.next_response()
-            replies = [await raw_response(running_gateway.admin_port, data) for data in REQUESTS]
+            replies = [await fetch_raw_response(running_gateway.admin_port, data) for data in REQUESTS]
             running_gateway.gateway.role.phase = ServicePhase.STARTING
-            replies.append(await raw_response(running_gateway.admin_port, REQUESTS[0]))
+            replies.append(await fetch_raw_response(running_gateway.admin_port, REQUESTS[0]))
             check_json_recording("operators.json", replies)
--- a/tests/compatibility/test_clients.py
+++ b/tests/compatibility/test_clients.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.http_messages import http_request, http_response
-from support.recordings import BOOK_REQUEST, check_json_recording, modified_request, raw_response
+from support.recordings import BOOK_REQUEST, check_json_recording, fetch_raw_response, modified_request
 from support.scripted_controller import ScriptedController
 
 from gateway.interface.actions import Fail, Reject
@@ -53,7 +53,9 @@
 
 
 async def test_responses_to_invalid_requests_match_the_recording(running_gateway):
-    responses = {name: await raw_response(running_gateway.port, data) for name, data in BAD_REQUESTS.items()}
+    responses = {
+        name: await fetch_raw_response(running_gateway.port, data) for name, data in BAD_REQUESTS.items()
+    }
     check_json_recording("bad-input.json", responses)
 
 
@@ -71,10 +73,10 @@
 ):
     port = running_gateway.port
     requests = [http_request(extra=extra) for extra in ("", "", "", "Connection: close\r\n")]
-    responses = [await raw_response(port, request) for request in requests]
-    responses.append(await raw_response(port, READINESS_REQUEST))
+    responses = [await fetch_raw_response(port, request) for request in requests]
+    responses.append(await fetch_raw_response(port, READINESS_REQUEST))
     gateway.role.phase = ServicePhase.STARTING
-    responses.append(await raw_response(port, READINESS_REQUEST))
+    responses.append(await fetch_raw_response(port, READINESS_REQUEST))
     check_json_recording("final-answers.json", responses)
 
 
@@ -83,7 +85,7 @@
 ):
     client.send(http_request("00000000000000d1"))
     _, writer = await endpoint.next_request()
-    responses = [await raw_response(running_gateway.port, http_request("00000000000000d1"))]
+    responses = [await fetch_raw_response(running_gateway.port, http_request("00000000000000d1"))]
     client.send(http_request("00000000000000d2"))
     await asyncio.sleep(SETTLE_S)
     writer.write(http_response(body=b"first"))
--- a/tests/support/recordings.py
+++ b/tests/support/recordings.py
@@ -29,7 +29,7 @@
 BOOK_REQUEST = {"path": "/book/7", "key": "k1", "body": b"body"}
 
 
-async def raw_response(port, data):
+async def fetch_raw_response(port, data):
     """Return the bytes of a response, up to the end of the connection or of a head that leaves it open."""
     client = await TestClient().connect(port)
     client.send(data)
