--- a/tests/policy/endpoints/test_outlier_detection.py
+++ b/tests/policy/endpoints/test_outlier_detection.py
@@ -18,7 +18,7 @@
             sent.append(send.endpoint)
             fails = send.endpoint == "s1"
             result = AttemptResult.ERROR if fails else AttemptResult.OK
-            ended = attempt_ended(send, result, duration_ms=2 if fails else 90)
+            ended = attempt_ended(send, result, elapsed_ms=2 if fails else 90)
             for n, retry in enumerate(sends_in(controller.handle(now + 5, [ended]))):
                 controller.handle(now + 10, [attempt_ended(retry, AttemptResult.OK, n + 1)])
     assert sent.count("s1") < len(sent) / 15
--- a/tests/support/policy_events.py
+++ b/tests/support/policy_events.py
@@ -28,10 +28,10 @@
     return RequestArrived(request_id, customer, class_name, plan_name, deadline_at_ms, units, 0, 3)
 
 
-def attempt_ended(send, result, attempt=0, duration_ms=50.0, final=None):
+def attempt_ended(send, result, attempt=0, elapsed_ms=50.0, final=None):
     """Return the end of the attempt that the action sent; only a success is final unless said otherwise."""
     final = result is AttemptResult.OK if final is None else final
-    return AttemptEnded(send.id, attempt, send.endpoint, duration_ms, result, final)
+    return AttemptEnded(send.id, attempt, send.endpoint, elapsed_ms, result, final)
 
 
 def actions_of_type(kind, actions):
