--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the test run, and fixtures that several folders use."""
+"""The event loop and the timeout of async tests, and fixtures that several test packages use."""
 
 import asyncio
 import functools
@@ -15,16 +15,16 @@
 from support.running_gateway import RunningGateway
 from support.scripted_controller import ScriptedController
 
-ASYNC_TEST_TIMEOUT_S = 30.0  # a test on the event loop takes longer only if it hangs
+ASYNC_TEST_TIMEOUT_S = 30.0  # a longer test waits for an event that never comes
 
 
 def pytest_asyncio_loop_factories():
-    """Run async tests on the event loop that the gateway uses."""
+    """Run async tests on uvloop, the event loop of the gateway."""
     return {"uvloop": uvloop.new_event_loop}
 
 
 def with_timeout(test):
-    """Return the async test, cancelled where it takes longer than the timeout."""
+    """Return an async test that runs the given one, and fails after ASYNC_TEST_TIMEOUT_S."""
 
     @functools.wraps(test)
     async def run(**arguments):
@@ -35,7 +35,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Give each async test a timeout."""
+    """Wrap each async test so that it fails after ASYNC_TEST_TIMEOUT_S."""
     for item in items:
         if inspect.iscoroutinefunction(getattr(item, "obj", None)):
             item.obj = with_timeout(item.obj)
@@ -43,21 +43,25 @@
 
 @pytest_asyncio.fixture
 async def endpoint():
-    """An endpoint, which gateways know as w1."""
+    """An endpoint, which is the endpoint w1 of the `running_gateway` fixture."""
     async with FakeEndpoint() as endpoint:
         yield endpoint
 
 
 @pytest_asyncio.fixture
 async def discovery_service():
-    """A discovery service whose calls the test answers."""
+    """A discovery service for which the test writes the responses."""
     async with FakeDiscovery() as service:
         yield service
 
 
 @pytest_asyncio.fixture
 async def controller(request):
-    """The gateway's controller, as the test's `scripted_controller` marker describes it."""
+    """The controller of the `running_gateway` fixture.
+
+    The arguments of the test's `scripted_controller` marker are passed to the class that the marker names as
+    `factory`, or to ScriptedController.
+    """
     marker = request.node.get_closest_marker("scripted_controller")
     if marker is None:
         return ScriptedController()
@@ -68,7 +72,7 @@
 
 @pytest_asyncio.fixture
 async def running_gateway(controller, endpoint):
-    """A running gateway whose controller is scripted."""
+    """A running gateway with the `controller` fixture and the endpoint w1."""
     known = [endpoint_entry("w1", endpoint.port)]
     async with RunningGateway(controller, known=known) as running_gateway:
         yield running_gateway
@@ -76,25 +80,25 @@
 
 @pytest.fixture
 def gateway(running_gateway):
-    """The program's gateway object."""
+    """The Gateway object of the `running_gateway` fixture."""
     return running_gateway.gateway
 
 
 @pytest_asyncio.fixture
 async def client(running_gateway):
-    """A connected client of the gateway."""
+    """A client that is connected to the `running_gateway` fixture."""
     return await running_gateway.connect()
 
 
 @pytest.fixture
 def port():
-    """The port on which a gateway process accepts clients."""
+    """The port on which a gateway process with the `config_path` fixture accepts clients."""
     return free_port()
 
 
 @pytest.fixture
 def config_path(tmp_path, port, discovery_service):
-    """The configuration file of a gateway process."""
+    """The path of a configuration file that names the `discovery_service` and `port` fixtures."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(discovery_service.port, port)))
     return path
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins and scenarios that tests share."""
+"""Test doubles, simulated fleets and helper functions that several test modules use."""
--- a/tests/support/addresses.py
+++ b/tests/support/addresses.py
@@ -1,3 +1,3 @@
-"""The address that the tests' sockets are bound to."""
+"""The loopback address to which tests bind their sockets."""
 
 HOST = "127.0.0.1"
--- a/tests/support/admin_calls.py
+++ b/tests/support/admin_calls.py
@@ -1,18 +1,24 @@
-"""Calls at the admin endpoint of a running gateway."""
+"""Calls to the admin endpoint of a running gateway."""
 
 from support.client import TestClient
 
 
 async def admin_call(running_gateway, data):
-    """Return the status and the body of one call, after which the connection is closed."""
-    caller = await TestClient().connect(running_gateway.admin_port)
-    status, headers, body = await caller.send(data).next_response()
-    assert headers["connection"] == "close" and await caller.is_closed_by_peer()
+    """Send the bytes of a request to the admin endpoint, and return the status and the body of the response.
+
+    Fails unless the admin endpoint then closes the connection.
+    """
+    client = await TestClient().connect(running_gateway.admin_port)
+    status, headers, body = await client.send(data).next_response()
+    assert headers["connection"] == "close" and await client.is_closed_by_peer()
     return status, body.decode()
 
 
 async def read_metrics(running_gateway):
-    """Return the values of all metrics, by their names without the prefix."""
+    """Return the values of all metrics by name, without the prefix `edge_balancer_`, but with the labels.
+
+    Fails unless each metric has a `# TYPE` line.
+    """
     status, text = await admin_call(running_gateway, b"GET /_vars HTTP/1.1\r\nHost: h\r\n\r\n")
     assert status == 200
     lines = [line for line in text.splitlines() if not line.startswith("#")]
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations and endpoint lists in the platform's format."""
+"""Configurations and endpoint lists as the JSON values that the platform sends."""
 
 from support.addresses import HOST
 
@@ -18,7 +18,7 @@
 
 
 def settings(**limits):
-    """Return the settings of a configuration."""
+    """Return the value of `settings` in a configuration; the arguments add or replace values of `limits`."""
     return {
         "balancers": 3,
         "myNumber": 0,
@@ -40,7 +40,7 @@
 
 
 def endpoint_entry(name, port, status="ready", since_ms=0):
-    """Return the entry of an endpoint at a loopback port in an endpoint list."""
+    """Return an entry of an endpoint list, for an endpoint at a port of the loopback address."""
     return {
         "name": name,
         "address": f"{HOST}:{port}",
@@ -54,12 +54,15 @@
 
 
 def endpoint_list(*entries, index=1, snapshot=True):
-    """Return an endpoint list, or a change of one."""
+    """Return a snapshot with these entries, or, if `snapshot` is false, an incremental update."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
-def configuration(discovery_port=9, listen_port=1, known=(), **more):
-    """Return a configuration in the platform's format."""
+def configuration(discovery_port=9, listen_port=1, known=(), **changes):
+    """Return a configuration whose initial endpoint list has the entries `known`.
+
+    Further arguments add or replace values at the top level of the configuration.
+    """
     value = {
         "name": "n0",
         "listen": f"{HOST}:{listen_port}",
@@ -69,5 +72,5 @@
         "known": endpoint_list(*known),
         "settings": settings(),
     }
-    value.update(more)
+    value.update(changes)
     return value
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery service on a loopback socket, whose responses the test writes."""
+"""A discovery service on a loopback socket whose responses the test writes."""
 
 import asyncio
 from typing import NamedTuple
@@ -6,31 +6,32 @@
 from support.addresses import HOST
 from support.http_messages import read_request
 
-WATCH_TARGET = "/discovery/hosts?since={}&timeout_ms=5000"  # of a watch from an index on
+# Request target of a call that waits for a change of the endpoint list after an index.
+WATCH_TARGET = "/discovery/hosts?since={}&timeout_ms=5000"
 
 
 class DiscoveryCall(NamedTuple):
-    """A call at the discovery service."""
+    """A call to the discovery service, with the writer for the response."""
 
     target: str
     writer: asyncio.StreamWriter
 
 
 class FakeDiscovery:
-    """A discovery service that leaves each response to the test."""
+    """A discovery service that queues each call and sends no response; the test writes the response."""
 
     def __init__(self, port=0):
         self.calls = asyncio.Queue()
         self.port = port
 
     async def __aenter__(self):
-        """Start to listen."""
+        """Start to listen, on a free port unless one was given."""
         self.server = await asyncio.start_server(self._serve, HOST, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def __aexit__(self, *_):
-        """Stop listening."""
+        """Stop listening; open connections stay open."""
         self.server.close()
 
     async def _serve(self, reader, writer):
@@ -41,5 +42,5 @@
             pass
 
     async def next_call(self):
-        """Return the next call."""
+        """Wait for the next call, and return it."""
         return await self.calls.get()
--- a/tests/support/gateway_steps.py
+++ b/tests/support/gateway_steps.py
@@ -1,4 +1,4 @@
-"""Steps of tests with a running gateway."""
+"""Steps that several tests with a running gateway take."""
 
 import asyncio
 import types
@@ -7,7 +7,10 @@
 
 
 async def complete_request(endpoint, client):
-    """Let a request be answered, and return the writer of its connection at the endpoint."""
+    """Send a request from the client, and answer it at the endpoint with status 200.
+
+    Returns the writer of the connection over which the endpoint received the request.
+    """
     client.send(http_request())
     _, writer = await endpoint.next_request()
     writer.write(http_response())
@@ -16,7 +19,7 @@
 
 
 def replace_create_connection(gateway, create_connection):
-    """Let the gateway open its connections to endpoints by this function in place of the event loop's."""
+    """Replace the event loop's `create_connection` with this function for connections to endpoints."""
     loop = asyncio.get_running_loop()
     gateway.upstreams._loop = types.SimpleNamespace(
         create_task=loop.create_task, call_soon=loop.call_soon, create_connection=create_connection
@@ -24,29 +27,30 @@
 
 
 def hold_connections(gateway):
-    """Hold further connections to endpoints back.
+    """Delay each new connection to an endpoint until the test permits it.
 
-    Returns two events: the first is set once a connection is due, the second lets connections be made.
+    Returns two events: the gateway sets the first when it starts to connect, and the test sets the second to
+    permit connections.
     """
     loop = asyncio.get_running_loop()
-    due = asyncio.Event()
+    started = asyncio.Event()
     release = asyncio.Event()
 
-    async def connect_later(factory, host, port):
-        due.set()
+    async def connect_when_released(factory, host, port):
+        started.set()
         await release.wait()
         return await loop.create_connection(factory, host, port)
 
-    replace_create_connection(gateway, connect_later)
-    return due, release
+    replace_create_connection(gateway, connect_when_released)
+    return started, release
 
 
 async def wait_until_connected(gateway, count):
-    """Return once the gateway has accepted this many connections."""
+    """Wait until the gateway has at least this many open client connections."""
     while len(gateway.connections) < count:
         await asyncio.sleep(0)
 
 
-def sweep_connections_after(gateway, ms):
-    """Sweep the connections of clients as if this many ms had passed."""
-    gateway.connections.sweep(gateway.clock.now() + ms, gateway.frontend.draining)
+def sweep_connections_after(gateway, elapsed_ms):
+    """Close the client connections that would be over a time limit `elapsed_ms` from now."""
+    gateway.connections.sweep(gateway.clock.now() + elapsed_ms, gateway.frontend.draining)
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as bytes, and a reader of them."""
+"""Functions that compose HTTP messages as bytes, and that read them from a stream."""
 
 import itertools
 import json
@@ -6,11 +6,16 @@
 
 import httptools
 
-_request_ids = itertools.count(0xAA)
+_request_ids = itertools.count(0xAA)  # ids of requests for which the test gives no id
 
 
 def http_request(request_id=None, path="/look", key=None, body=b"", deadline=10_000, extra=""):
-    """Return the bytes of a client's request, with a new id unless one is given."""
+    """Return the bytes of a client's request.
+
+    A request without `request_id` gets an unused id. The method is POST if there is a body or an idempotency
+    key `key`, and GET otherwise. `deadline` is in milliseconds, and `extra` contains further header lines,
+    each with its line ending.
+    """
     request_id = f"{next(_request_ids):016x}" if request_id is None else request_id
     method = "POST" if body or key else "GET"
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
@@ -25,17 +30,17 @@
 
 
 def http_response(status=200, body=b"done", extra=""):
-    """Return the bytes of a response with a Content-Length."""
+    """Return the bytes of a response with a Content-Length; `extra` contains further header lines."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
 
 
 def json_response(value):
-    """Return the bytes of a response whose body is the value as JSON."""
+    """Return the bytes of a response with status 200 whose body is the value as JSON."""
     return http_response(body=json.dumps(value).encode())
 
 
 class HttpMessage:
-    """A message that is being parsed, from either side of a connection."""
+    """A request or a response that is being parsed; the parser calls its `on_` methods."""
 
     def __init__(self, parser_class):
         self.parser = parser_class(self)
@@ -45,19 +50,19 @@
         self.is_complete = False
 
     def on_url(self, url):
-        """Take a piece of the request's target."""
+        """Append a part of the request's target."""
         self.url += url
 
     def on_header(self, name, value):
-        """Take a header field."""
+        """Store a header field under its name in lower case."""
         self.headers[name.decode().lower()] = value.decode()
 
     def on_body(self, part):
-        """Take a piece of the body."""
+        """Append a part of the body."""
         self.body += part
 
     def on_message_complete(self):
-        """Note the end of the message."""
+        """Mark the message as complete."""
         self.is_complete = True
 
 
@@ -70,14 +75,14 @@
 
     @property
     def status_and_body(self):
-        """The two parts that most tests compare."""
+        """The status and the body, for tests that compare no header fields."""
         return self.status, self.body
 
 
 async def read_message(reader, parser_class):
-    """Return the next message, or None at the end of the stream.
+    """Read and return the next message, or None if the stream ends before the message is complete.
 
-    It is read byte by byte, so that nothing of the message behind it is consumed.
+    Reads single bytes, because a longer read could consume the start of the following message.
     """
     message = HttpMessage(parser_class)
     while not message.is_complete:
@@ -89,12 +94,12 @@
 
 
 async def read_request(reader):
-    """Return the next request, or None at the end of the stream."""
+    """Read and return the next request, or None if the stream ends before the request is complete."""
     return await read_message(reader, httptools.HttpRequestParser)
 
 
 async def read_response(reader):
-    """Return the next response, or None at the end of the stream."""
+    """Read and return the next response, or None if the stream ends before the response is complete."""
     message = await read_message(reader, httptools.HttpResponseParser)
     if message is None:
         return None
--- a/tests/support/polling.py
+++ b/tests/support/polling.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition that has no event of its own."""
+"""A wait for conditions whose change no event announces."""
 
 import asyncio
 
@@ -6,6 +6,6 @@
 
 
 async def wait_until(condition):
-    """Return once the condition holds."""
+    """Call `condition` every POLL_INTERVAL_S, and return when it returns true."""
     while not condition():
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""Gateway processes, started as the deploy file says."""
+"""Gateway processes, started with the `run` command of the deploy file."""
 
 import asyncio
 import os
@@ -17,13 +17,17 @@
 
 
 def free_port():
-    """Return a port that nothing listens on."""
+    """Return a TCP port of the loopback address on which no socket listens."""
     with socket.create_server((HOST, 0)) as probe:
         return probe.getsockname()[1]
 
 
 async def start_process(config_path, runtime_folder="", **options):
-    """Start the gateway, which keeps its socket file in the runtime folder."""
+    """Start a gateway process with this configuration file, and return the process.
+
+    Gateway processes with the same `runtime_folder` find each other's socket files there. Further arguments
+    are those of `asyncio.create_subprocess_exec`.
+    """
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable)
     environment = {**os.environ, "BALANCER_CONFIG": str(config_path), "TMPDIR": runtime_folder}
@@ -34,19 +38,19 @@
 
 
 async def kill_process(process):
-    """Kill the process unless it has ended, and wait for its end."""
+    """Kill the process if it is still running, and wait until it has ended."""
     if process.returncode is None:
         process.kill()
         await process.wait()
 
 
 def open_descriptor_count(process):
-    """Return how many descriptors the process has open."""
+    """Return the number of file descriptors that the process has open."""
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
 async def wait_until_ready(port):
-    """Return once the gateway at this port answers that it is ready."""
+    """Wait until the gateway at this port answers a readiness request with status 200."""
     while True:
         try:
             client = await TestClient().connect(port)
@@ -63,13 +67,16 @@
 
 
 async def send_endpoint_list(discovery_service, *entries):
-    """Answer the next call with a snapshot of these endpoints, and leave the watch open."""
+    """Answer the next call to discovery with a snapshot of these entries.
+
+    Leaves the connection open, and leaves later calls without an answer.
+    """
     _, writer = await discovery_service.next_call()
     writer.write(json_response(endpoint_list(*entries)))
 
 
-def fleet_configuration(discovery_port, port, size, **more):
-    """Return a configuration of a gateway in a fleet of this size."""
-    value = configuration(discovery_port, port, **more)
+def fleet_configuration(discovery_port, port, size, **changes):
+    """Return a configuration, with these changes, of a gateway in a fleet of `size` gateways."""
+    value = configuration(discovery_port, port, **changes)
     value["settings"]["balancers"] = size
     return value
--- a/tests/support/running_gateway.py
+++ b/tests/support/running_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway that runs in the test's process."""
+"""A gateway that runs on the event loop of the test."""
 
 import asyncio
 
@@ -12,17 +12,20 @@
 
 
 class RunningGateway:
-    """A gateway with its client and admin sockets, on ports that the system chooses."""
+    """A gateway with its client socket and its admin socket, on ports that the system chooses.
 
-    def __init__(self, controller=None, **more):
+    `changes` are arguments of `configuration`.
+    """
+
+    def __init__(self, controller=None, **changes):
         self.controller = controller
-        config = config_from(configuration(**more), {})
+        config = config_from(configuration(**changes), {})
         self.gateway = Gateway(config, asyncio.get_running_loop(), controller)
         self.gateway.on_endpoint_list(config.initial_endpoints)
         self.server = None
 
     async def __aenter__(self):
-        """Start to serve clients and admin calls."""
+        """Open both sockets, and start to serve clients and admin calls."""
         self.server = await asyncio.get_running_loop().create_server(
             lambda: ClientConnection(self.gateway.frontend), HOST, 0
         )
@@ -34,10 +37,10 @@
         return self
 
     async def __aexit__(self, *_):
-        """Stop accepting connections."""
+        """Stop accepting connections on both sockets; open connections stay open."""
         self.server.close()
         self.admin.close()
 
     async def connect(self):
-        """Return a connected client."""
+        """Connect a client to the gateway, and return the client."""
         return await TestClient().connect(self.port)
--- a/tests/support/scripted_controller.py
+++ b/tests/support/scripted_controller.py
@@ -1,4 +1,4 @@
-"""A controller whose actions the test chooses."""
+"""A controller whose actions the test determines."""
 
 import asyncio
 import math
@@ -8,9 +8,10 @@
 
 
 class ScriptedController:
-    """Sends each request to one endpoint, fails it after a failed attempt, and keeps the events.
+    """A controller that sends each request to one endpoint, and fails it if the attempt fails.
 
-    Without an endpoint it keeps the events only. `pending_actions` go out with the next turn.
+    Without an endpoint, it sends no request. It stores all events in `events`, and returns the actions that
+    the test puts into `pending_actions` with the next turn.
     """
 
     def __init__(self, endpoint="w1", timeout_ms=20_000.0):
@@ -23,7 +24,7 @@
         self.event_received = asyncio.Event()
 
     def handle(self, _now, events):
-        """Keep the events, and return the actions of this turn."""
+        """Store the events, and return the pending actions and those that the events cause."""
         self.events += events
         self.event_received.set()
         actions = self.pending_actions
@@ -36,14 +37,14 @@
         return actions
 
     def endpoint_counts(self, _now):
-        """Return zero listed and zero avoided endpoints."""
+        """Return 0 as the number of listed endpoints and as the number of avoided ones."""
         return 0, 0
 
-    async def next_event(self, kind):
-        """Wait for an event of this kind that has not been returned yet."""
+    async def next_event(self, event_type):
+        """Wait for the first stored event of this type; remove the event from `events` and return it."""
         while True:
             for event in self.events:
-                if isinstance(event, kind):
+                if isinstance(event, event_type):
                     self.events.remove(event)
                     return event
             self.event_received.clear()
--- a/tests/support/simulated_watch.py
+++ b/tests/support/simulated_watch.py
@@ -1,4 +1,4 @@
-"""The gateway's watch at discovery on a simulated clock."""
+"""A gateway's watch of the endpoint list, on a simulated clock and with a simulated discovery service."""
 
 import asyncio
 import contextlib
@@ -8,40 +8,40 @@
 from gateway.network.discovery.watch import EndpointWatch
 from support.addresses import HOST
 
-FIRST_INDEX = 41  # of the configured list
-UNCHANGED = EndpointList(FIRST_INDEX, False, ())
+FIRST_INDEX = 41  # index of the configured endpoint list, from which the watch starts
+UNCHANGED = EndpointList(FIRST_INDEX, False, ())  # discovery's response if the list has not changed
 
 
 class CallOutcome(NamedTuple):
-    """What a call comes to, a list or an error, and how long it takes."""
+    """The result of a call to discovery, an endpoint list or an error, and the duration of the call."""
 
     result: EndpointList | Exception
     duration_s: float
 
 
 class SimulatedWatch:
-    """A gateway's calls at a discovery service that a function stands for.
+    """A watch whose calls to discovery are answered by the function `respond`.
 
-    The function takes the time and the call's timeout in seconds, and returns a `CallOutcome`. The watch
-    ends with the first success after the first call.
+    For each call, `respond` receives the simulated time and the timeout of the call, both in seconds, and
+    returns a `CallOutcome`. The watch ends with the second successful call.
     """
 
     def __init__(self, respond):
         self.respond = respond
         self.now_s = 0.0
-        self.call_starts_s = []  # of all calls
-        self.success_ends_s = []  # ends of the successful calls
+        self.call_starts_s = []  # times at which calls start, successful or not
+        self.success_ends_s = []  # times at which successful calls end
 
     def time(self):
-        """Return the simulated time, as an event loop does."""
+        """Return the simulated time in seconds, in place of the event loop's `time`."""
         return self.now_s
 
     async def sleep(self, seconds):
-        """Let simulated time pass."""
+        """Advance the simulated time, in place of `asyncio.sleep`."""
         self.now_s += seconds
 
-    async def call(self, _target, timeout_s):
-        """Stand for a call at the discovery service."""
+    async def fetch_list(self, _target, timeout_s):
+        """Return or raise the result of `respond`, in place of `EndpointWatch._fetch_list`."""
         self.call_starts_s.append(self.now_s)
         outcome = self.respond(self.now_s, timeout_s)
         self.now_s += outcome.duration_s
@@ -53,9 +53,9 @@
         return outcome.result
 
     async def run(self, monkeypatch, **options):
-        """Run the watch to its end."""
+        """Run a watch with these options of `EndpointWatch` until its second successful call."""
         watch = EndpointWatch((HOST, 9), print, FIRST_INDEX, **options)
-        watch._fetch_list = self.call
+        watch._fetch_list = self.fetch_list
         with monkeypatch.context() as patch:
             patch.setattr("gateway.network.discovery.watch.asyncio.sleep", self.sleep)
             patch.setattr("gateway.network.discovery.watch.asyncio.get_running_loop", lambda: self)
@@ -64,7 +64,10 @@
 
 
 def simulate_watch(monkeypatch, respond, **options):
-    """Run a watch with these options of `EndpointWatch`, and return it when it has ended."""
+    """Run a watch with these options of `EndpointWatch` until its second successful call.
+
+    Returns the `SimulatedWatch`, which lists the times of the calls.
+    """
     watch = SimulatedWatch(respond)
     asyncio.run(watch.run(monkeypatch, **options))
     return watch
