--- a/tests/support/event_queue.py
+++ b/tests/support/event_queue.py
@@ -1,4 +1,4 @@
-"""Events on a simulated clock."""
+"""A queue of events for gateways on a simulated clock."""
 
 import heapq
 import itertools
@@ -6,7 +6,10 @@
 
 
 class QueuedEvent(NamedTuple):
-    """An event that reaches a gateway at a time; events of one time keep their order."""
+    """An event with the time at which a gateway receives it.
+
+    Queued events compare by time and then by serial number, so that simultaneous events keep their order.
+    """
 
     at_ms: float
     serial: int
@@ -15,18 +18,18 @@
 
 
 class EventQueue:
-    """The events that are still to reach the gateways."""
+    """The scheduled events of all gateways, ordered by time."""
 
     def __init__(self):
         self._heap = []
         self._serials = itertools.count()
 
     def schedule(self, at_ms, gateway, event):
-        """Add an event that reaches the gateway at this time."""
+        """Schedule an event that the gateway receives at `at_ms`."""
         heapq.heappush(self._heap, QueuedEvent(at_ms, next(self._serials), gateway, event))
 
-    def pop_due(self, now):
-        """Remove and yield the events up to this time, with their gateways."""
-        while self._heap and self._heap[0].at_ms <= now:
+    def pop_due(self, now_ms):
+        """Remove the events that are due at or before `now_ms`, and yield pairs of gateway and event."""
+        while self._heap and self._heap[0].at_ms <= now_ms:
             due = heapq.heappop(self._heap)
             yield due.gateway, due.event
--- a/tests/support/policy_events.py
+++ b/tests/support/policy_events.py
@@ -1,4 +1,4 @@
-"""Controllers for tests of the decisions, and the events and actions that the tests use most."""
+"""Controllers and events for tests of the policy, and functions that select actions by their type."""
 
 from gateway.gossip import codec
 from gateway.interface.actions import Fail, Reject, SendAttempt, SendGossip, SetTimer
@@ -18,69 +18,72 @@
 )
 
 
-def new_controller(**more):
-    """Return a controller with these changes of the settings."""
-    return Controller(settings(**more), 1)
+def new_controller(**changes):
+    """Return a controller whose settings are those of `policy_settings.settings` with these changes."""
+    return Controller(settings(**changes), 1)
 
 
 def arrival(request_id, class_name="look", plan_name="rated", deadline_at_ms=5000.0, customer="c", units=1):
-    """Return the arrival of a request whose customer's quota leader is one of the first three gateways."""
+    """Return the event of a request's arrival; gateways 0 to 2 serve its customer and can lead its quota."""
     return RequestArrived(request_id, customer, class_name, plan_name, deadline_at_ms, units, 0, 3)
 
 
 def attempt_ended(send, result, attempt=0, elapsed_ms=50.0, final=None):
-    """Return the end of the attempt that the action sent; only a success is final unless said otherwise."""
+    """Return the event that ends the attempt of the SendAttempt action `send`.
+
+    Without `final`, the event ends the request if the result is OK.
+    """
     final = result is AttemptResult.OK if final is None else final
     return AttemptEnded(send.id, attempt, send.endpoint, elapsed_ms, result, final)
 
 
-def actions_of_type(kind, actions):
-    """Return the actions of one type."""
-    return [action for action in actions if isinstance(action, kind)]
+def actions_of_type(action_type, actions):
+    """Return the actions of a type, or of one of the types in a union."""
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 def sends_in(actions):
-    """Return the actions that send an attempt."""
+    """Return the SendAttempt actions."""
     return actions_of_type(SendAttempt, actions)
 
 
 def rejections_in(actions):
-    """Return the actions that reject a request."""
+    """Return the Reject actions."""
     return actions_of_type(Reject, actions)
 
 
 def failures_in(actions):
-    """Return the actions that fail a request."""
+    """Return the Fail actions."""
     return actions_of_type(Fail, actions)
 
 
 def datagrams_in(actions):
-    """Return the actions that send a datagram."""
+    """Return the SendGossip actions."""
     return actions_of_type(SendGossip, actions)
 
 
 def timers_in(actions):
-    """Return the actions that request a wake-up."""
+    """Return the SetTimer actions."""
     return actions_of_type(SetTimer, actions)
 
 
 def entries_in(datagrams):
-    """Return the quota entries of all datagrams."""
+    """Decode the datagrams of these SendGossip actions, and return all their quota entries in order."""
     return [entry for datagram in datagrams for entry in codec.decode(datagram.data).entries]
 
 
 def quota_entry(kind, customer="c", serial=1, units=1.0, demand_per_s=0.0, class_index=0, plan_index=0):
-    """Return an entry of a datagram about a customer's quota."""
+    """Return a quota entry about a customer, as a gossip datagram contains it."""
     return codec.QuotaEntry(
         kind, codec.customer_tag(customer), serial, units, demand_per_s, class_index, plan_index
     )
 
 
 def leader_of(customer, first=0, spread=3):
-    """Return the number of the gateway that leads the customer's quota."""
+    """Return the number of the customer's quota leader among `spread` gateways that start at `first`."""
     return first + codec.customer_tag(customer) % spread
 
 
-def index_by_name(rows):
-    """Return plans or classes by their names."""
-    return {row.name: row for row in rows}
+def index_by_name(items):
+    """Return a dictionary from the names of plans or classes to these plans or classes."""
+    return {item.name: item for item in items}
--- a/tests/support/policy_settings.py
+++ b/tests/support/policy_settings.py
@@ -1,15 +1,15 @@
-"""Settings for tests of the decisions."""
+"""Settings for tests of the policy."""
 
 from gateway.interface.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 
-TICK_MS = 4.0  # of a turn
-DRAIN_GRACE_MS = 250.0  # from the news of a withdrawal to the last attempt at the endpoint
-CLOCK_SLACK_MS = 16.0  # by which an answer may pass its deadline
-DEDUPLICATION_WINDOW_MS = 1200
+TICK_MS = 4.0  # time between two turns of a controller
+DRAIN_GRACE_MS = 250.0  # time for which a gateway may send to an endpoint after learning of its withdrawal
+CLOCK_SLACK_MS = 16.0  # time after a deadline up to which an answer counts as in time
+DEDUPLICATION_WINDOW_MS = 1200  # time for which endpoints remember an idempotency key
 
 
 def keyed_class(name, key_scope):
-    """Return a class of requests with an idempotency key."""
+    """Return a class whose requests have idempotency keys with the scope `key_scope`."""
     return RequestClass(
         name,
         900,
@@ -36,8 +36,12 @@
 )
 
 
-def settings(gateway_number=0, gateways=3, **more):
-    """Return settings with every kind of idempotency and plan."""
+def settings(gateway_number=0, gateways=3, **changes):
+    """Return settings with these changes.
+
+    By default, the classes cover each idempotency and each key scope, and the plans cover quotas on the rate
+    with and without a ceiling, and a quota on the requests in flight.
+    """
     values = dict(
         gateways=gateways,
         gateway_number=gateway_number,
@@ -59,5 +63,5 @@
         report_how="answers",
         report_fields=("util", "inflight"),
     )
-    values.update(more)
+    values.update(changes)
     return Settings(**values)
