--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests that the pages name what the program has: log lines, metrics, constants, modules and tests."""
+"""Tests that the documentation matches the code: log lines, metrics, constants, tests and paths."""
 
 import ast
 import pathlib
@@ -12,11 +12,11 @@
 RUNBOOK = (ROOT / "docs/runbook.md").read_text()
 PAGES = sorted(ROOT.glob("docs/*.md"))
 SOURCES = {path: path.read_text() for path in sorted(ROOT.glob("gateway/**/*.py"))}
-LOG_METHODS = ("info", "warning", "error")
+LOG_METHODS = ("info", "warning", "error")  # methods of `log` that the gateway calls
 
 
 def log_formats():
-    """Return the format strings of all log calls."""
+    """Yield the format string of each call of a method of `log` in the gateway."""
     for source in SOURCES.values():
         for node in ast.walk(ast.parse(source)):
             is_call = isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute)
@@ -37,15 +37,15 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_constants_on_a_page_exist(page):
-    program = "\n".join(SOURCES.values())
+def test_constants_named_on_a_page_exist(page):
+    gateway_source = "\n".join(SOURCES.values())
     named = re.findall(r"`(?:\w+\.)*([A-Z][A-Z0-9]*_[A-Z0-9_]+)`", page.read_text())
-    missing = {name for name in named if not re.search(rf"\b{name}\b", program)}
+    missing = {name for name in named if not re.search(rf"\b{name}\b", gateway_source)}
     assert not missing
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_tests_on_a_page_exist(page):
+def test_tests_named_on_a_page_exist(page):
     tests = ROOT.glob("tests/**/*.py")
     functions = {name for path in tests for name in re.findall(r"def (test_\w+)", path.read_text())}
     named = re.findall(r"`(test_\w+)`", page.read_text())
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_paths_on_a_page_exist(page):
+def test_paths_named_on_a_page_exist(page):
     named = re.findall(r"`((?:gateway|tests|docs|deploy|tools)/[\w./]+)`", page.read_text())
     missing = [path for path in named if not (ROOT / path).exists()]
     assert not missing
