--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -123,7 +123,10 @@
                 n for n in self.checker.overdue_requests(self.now_ms) if n not in self.streaming_requests
             ]
             assert not overdue, f"rule 1: no answer by the deadline for requests {overdue[:3]}"
-            assert self.now_ms < end_ms + MAX_DRAIN_MS
+            assert self.now_ms < end_ms + MAX_DRAIN_MS, (
+                f"rule 1: requests {list(self.checker.open_requests)[:3]} are open "
+                f"{MAX_DRAIN_MS} ms after the last arrival"
+            )
 
     def _draw_event(self, probability):
         """Draw whether an event occurs.
@@ -231,7 +234,7 @@
             if not events:
                 continue
             actions = controller.handle(self.now_ms, events)
-            assert not controller.errors, controller.errors
+            assert not controller.errors, f"errors of gateway {gateway}: {controller.errors}"
             self.turns.append((gateway, self.now_ms, actions))
             for action in actions:
                 self._execute_action(gateway, action)
@@ -273,7 +276,10 @@
             self.checker.on_failure(self.now_ms, action.id)
 
     def _send_datagram(self, gateway, action):
-        assert len(action.data) <= MAX_DATAGRAM_BYTES
+        assert len(action.data) <= MAX_DATAGRAM_BYTES, (
+            f"gateway {gateway} sent a datagram of {len(action.data)} bytes, "
+            f"expected at most {MAX_DATAGRAM_BYTES}"
+        )
         copies = 0 if self.rng.random() < self.loss_probability else self.rng.choice((1, 1, 1, 2))
         for _ in range(copies):
             is_complete = self.rng.random() > TRUNCATION_PROBABILITY
