--- a/tests/policy/test_rule_checker.py
+++ b/tests/policy/test_rule_checker.py
@@ -56,13 +56,13 @@
 def test_streamed_response_may_end_after_the_deadline():
     checker = checker_with("feed")
     checker.on_success(DEADLINE_AT_MS + 1000, 1)
-    assert not checker.open
+    assert not checker.open_requests
 
 
 def test_open_request_is_overdue_after_its_deadline_and_the_clock_slack():
     checker = checker_with("look")
-    assert not checker.overdue(DEADLINE_AT_MS + CLOCK_SLACK_MS)
-    assert checker.overdue(DEADLINE_AT_MS + CLOCK_SLACK_MS + 1) == [1]
+    assert not checker.overdue_requests(DEADLINE_AT_MS + CLOCK_SLACK_MS)
+    assert checker.overdue_requests(DEADLINE_AT_MS + CLOCK_SLACK_MS + 1) == [1]
 
 
 def test_repetition_of_a_non_idempotent_request_raises_unless_proved_not_executed():
@@ -109,7 +109,7 @@
     if class_name != "look":
         checker.on_not_executed(1, 0)
     checker.on_rejection(NOW + 10, 1, 0.0)
-    assert checker.done == {1}
+    assert checker.ended_requests == {1}
 
 
 def test_rejection_of_a_possibly_executed_request_with_a_global_key_is_allowed_only_within_its_window():
--- a/tests/process/test_limits.py
+++ b/tests/process/test_limits.py
@@ -17,10 +17,10 @@
 from support.processes import (
     fleet_configuration,
     free_port,
-    kill,
-    open_descriptors,
+    kill_process,
+    open_descriptor_count,
     start_process,
-    until_ready,
+    wait_until_ready,
 )
 
 FLEET_SIZE = 1024  # number of gateways, and of endpoints
@@ -90,11 +90,11 @@
         _, writer = await discovery_service.next_call()
         snapshot = endpoint_list(*endpoints, endpoint_entry("one-more", 4999), index=2)
         writer.write(json_response(snapshot))
-        await until_ready(port)
+        await wait_until_ready(port)
         assert peak_resident_kb(process) < MAX_RESIDENT_KB
-        assert open_descriptors(process) < MAX_OPEN_DESCRIPTORS
+        assert open_descriptor_count(process) < MAX_OPEN_DESCRIPTORS
     finally:
-        await kill(process)
+        await kill_process(process)
 
 
 async def test_idle_clients_leave_descriptors_for_discovery_and_admin_endpoint(tmp_path, port):
@@ -108,11 +108,11 @@
     config_path.write_text(json.dumps(value))
     process = await start_process(config_path, preexec_fn=limit_descriptors)
     try:
-        await until_ready(port)
+        await wait_until_ready(port)
         cpu_time_before_s = cpu_time_s(process)
         began_s = loop.time()
         with idle_clients(port, 400):
-            while open_descriptors(process) < 100:  # clients may hold 117 at most
+            while open_descriptor_count(process) < 100:  # clients may hold 117 at most
                 await asyncio.sleep(0)
             assert await endpoints_in_metrics(admin_port) == 1
             async with FakeDiscovery(discovery_port) as discovery_service, asyncio.timeout(6):
@@ -124,4 +124,4 @@
             assert process.returncode is None
             assert cpu_time_s(process) - cpu_time_before_s < 0.5 + (loop.time() - began_s) / 2
     finally:
-        await kill(process)
+        await kill_process(process)
