--- a/gateway/interface/events.py
+++ b/gateway/interface/events.py
@@ -50,7 +50,8 @@
     cell: int  # group of endpoints within the zone
     state: EndpointState
     weight: float = 1.0  # capacity relative to other endpoints
-    started_at_ms: float = 0.0  # when the endpoint's process started; 0: so long ago that slow start is over
+    # Time at which the endpoint's process started. 0 stands for an early start: the slow start has ended.
+    started_at_ms: float = 0.0
 
     def shares_keys_with(self, other: Endpoint, scope: KeyScope) -> bool:
         """Return whether both endpoints belong to the same deduplication group under this scope."""
--- a/gateway/network/clients/body_progress.py
+++ b/gateway/network/clients/body_progress.py
@@ -14,7 +14,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Discard the measurement; the next one starts with the end of the next request's head."""
+        """Discard the measurement; a new measurement starts at the end of the next request's head."""
         self.paused_since_ms = 0.0  # 0 unless reading of the body is paused
         # The time at which the head was complete plus the duration of all pauses; 0 until the head is
         # complete.
--- a/gateway/network/clients/connection_limiter.py
+++ b/gateway/network/clients/connection_limiter.py
@@ -132,7 +132,7 @@
         """Derive all limits from the number of descriptors that clients and endpoints share.
 
         The increments by `add_transferred` are discarded: when the predecessor has ended, `descriptors` is
-        derived from the whole configured limit, which includes the transferred connections.
+        derived from the full configured limit, which includes the transferred connections.
         """
         self.eviction_threshold = int(descriptors * EVICTION_THRESHOLD_FRACTION)
         self.max_admitted = int(descriptors * ADMITTED_FRACTION)
--- a/gateway/network/hot_restart/predecessor.py
+++ b/gateway/network/hot_restart/predecessor.py
@@ -59,7 +59,7 @@
         self._gateway.loop.add_reader(sock, self._accept_link, sock)
 
     def stop_listening(self) -> None:
-        """Stop listening for successors; the socket file remains until the next process replaces it."""
+        """Stop listening for successors; the socket file remains until a successor replaces it."""
         if self._listening_socket is not None:
             self._gateway.loop.remove_reader(self._listening_socket)
             self._listening_socket.close()
--- a/gateway/policy/dispatch/concurrency_limit.py
+++ b/gateway/policy/dispatch/concurrency_limit.py
@@ -99,8 +99,8 @@
 
         While the mean number in flight is within the limit, the current number may exceed the limit by a
         slack for random variation. The standard deviation of a count is its square root. In relation to the
-        limit of the whole fleet it is small; in relation to one gateway's small share of the limit it is
-        large. The slack therefore grows with the number of gateways, and a single gateway has the minimum.
+        limit of all gateways together it is small; in relation to one gateway's small share of the limit it
+        is large. The slack therefore grows with the number of gateways, and a single gateway has the minimum.
         The mean is taken over few attempts and varies too, so it may exceed the limit by half of the
         deviation.
         """
--- a/gateway/policy/endpoints/outlier_detection.py
+++ b/gateway/policy/endpoints/outlier_detection.py
@@ -36,7 +36,7 @@
 
 
 class OutlierDetector(PolicyComponent):
-    """Estimates the latency and the failure rates of endpoints, and stores the estimates in their records."""
+    """Estimates the latency and failure rates of endpoints; the endpoint records hold the estimates."""
 
     def __init__(self, context: PolicyContext) -> None:
         super().__init__(context)
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -37,8 +37,8 @@
 # leader counts as silent. If the request cannot wait any longer, one lease request without a reply suffices.
 MAX_LEASE_REQUESTS = 2
 
-# Interval, in milliseconds, at which the gateway again tries to admit a waiting request from the local bucket
-# while the request's quota leader is silent.
+# Interval, in milliseconds, at which the gateway retries the admission of a waiting request from the local
+# bucket while the request's quota leader is silent.
 SILENT_LEADER_RETRY_INTERVAL_MS = 250.0
 
 
@@ -128,7 +128,8 @@
         """Handle a leader's reply, and pass it to the listener.
 
         The reply also updates the customer's demand at all gateways, which the leader reports, and the
-        expected reply time. A GRANT or QUEUED is not passed on if the request has drawn units already.
+        expected reply time. The listener does not receive a GRANT or QUEUED if the request has
+        drawn units already.
         """
         request = self.leases.find_request(sender, entry)
         if request is None:
--- a/tests/policy/quota/test_ceilings.py
+++ b/tests/policy/quota/test_ceilings.py
@@ -10,7 +10,7 @@
 
 
 class ReferenceCeiling:
-    """The token bucket of the whole ceiling of the plan "capped": 16 units per second, at most 32 units."""
+    """A token bucket with the ceiling of the plan "capped" for all gateways: 16 units/s, at most 32 units."""
 
     def __init__(self, now):
         self.level = 32.0
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 3, 40])
 def test_ceiling_holds_when_the_quota_leader_restarts_repeatedly(gateways):
-    """Each incarnation of the leader serves for 1 s, and the next one starts 1.6 s later.
+    """Each incarnation of the leader serves for 1 s, and the next incarnation starts 1.6 s later.
 
     A new leader process does not know what the one before it granted, and must not grant it again. At once it
     may grant only what the ceiling allows beyond the quota.
--- a/tests/policy/state_transfer/test_hot_restart.py
+++ b/tests/policy/state_transfer/test_hot_restart.py
@@ -127,7 +127,7 @@
     hot_restart.end_retirement(predecessor, now + 5)  # the successor has ended; what it granted is unknown
     predecessor.handle(now + 5, arrivals([2], now + 5, "capped"))
     (bucket,) = predecessor.flow.leader.buckets.values()
-    # The successor may have granted the whole burst of the quota, which is 16 units.
+    # The successor may have granted the full burst of the quota, which is 16 units.
     assert isinstance(bucket, LeaderBucket) and bucket.ceiling_level < 32 * 0.75 - 16
 
 
--- a/tests/process/test_start.py
+++ b/tests/process/test_start.py
@@ -43,7 +43,7 @@
     try:
         while (await discovery_service.next_call()).target != "/discovery/hosts":
             pass  # skip the watch of the killed process
-        # The first call of the new process got no response; it times out, and the process calls again.
+        # The first call of the restarted process got no response. It times out, and the process calls again.
         await send_endpoint_list(discovery_service, endpoint_entry("w1", endpoint.port))
         await wait_until_ready(port)
     finally:
--- a/tests/support/cold_fleet.py
+++ b/tests/support/cold_fleet.py
@@ -21,7 +21,7 @@
 from support.policy_settings import TICK_MS, settings
 
 START_MS = 50_000.0
-KNOWN_BEFORE_START_MS = 2000  # time for which gateways know endpoints as warm before these start anew
+KNOWN_BEFORE_START_MS = 2000  # time for which gateways know all endpoints as warm before cold ones restart
 SIMULATED_AFTER_START_MS = 2400  # simulated time after the start of the cold endpoints
 DISCOVERY_SPREAD_MS = 0.0  # maximum delay between the endpoints' start and a gateway's update about it
 ENDPOINTS = 20
--- a/tests/support/scripted_controller.py
+++ b/tests/support/scripted_controller.py
@@ -10,8 +10,8 @@
 class ScriptedController:
     """A controller that sends each request to one endpoint, and fails it if the attempt fails.
 
-    Without an endpoint, it sends no request. It stores all events in `events`, and returns the actions that
-    the test puts into `pending_actions` with the next turn.
+    Without an endpoint, it sends no request. `handle` appends the received events to `events`. The actions
+    that the test puts into `pending_actions` are returned by the next call of `handle`.
     """
 
     def __init__(self, endpoint="w1", timeout_ms=20_000.0):
