--- a/gateway/network/discovery/watch.py
+++ b/gateway/network/discovery/watch.py
@@ -54,7 +54,7 @@
         self,
         address: Address,
         on_list: Callable[[EndpointList], None],
-        known_index: int | None = None,
+        configured_list_index: int | None = None,
         *,
         fleet_size: int = 1,
         seed: int | None = None,
@@ -66,7 +66,8 @@
         Args:
             address: The address of discovery.
             on_list: Called with each snapshot and with each incremental update that has entries.
-            known_index: The index of the configured endpoint list; None to request a snapshot first.
+            configured_list_index: The index of the configured endpoint list; None if that list is empty, to
+                request a snapshot first.
             fleet_size: The number of gateways in the fleet.
             seed: The seed of the random delays.
             is_pushed: Whether the lists come from an agent on this machine.
@@ -74,7 +75,7 @@
         """
         self._address = address
         self._on_list = on_list
-        self._index = known_index  # the index of the known endpoint list; None requests a snapshot
+        self._index = configured_list_index  # the index of the known endpoint list; None requests a snapshot
         self._backoff = DiscoveryBackoff(
             fleet_size,
             random.Random(seed),
@@ -82,7 +83,7 @@
             max_backoff_s=_max_backoff_s(drain_grace_s) if is_pushed else MAX_BACKOFF_S,
         )
         self._client = DiscoveryClient(address)
-        self._drain_memory = DrainMemory(known_index or 0)
+        self._drain_memory = DrainMemory(configured_list_index or 0)
         self._is_failure_logged = False  # True after a logged failure, until a call succeeds
         # Whether the previous call failed for a reason other than a timeout.
         self._was_last_call_rejected = False
--- a/gateway/network/gateway.py
+++ b/gateway/network/gateway.py
@@ -145,8 +145,8 @@
         fired = TimerFired(action.name)
         earliest_ms = self.clock.now() + action.after_ms
         tick_ms = max(1.0, self.config.settings.tick_ms)
-        due_ms = math.ceil(earliest_ms / tick_ms) * tick_ms
-        self.timers.call_at(due_ms, lambda: self.controller_loop.enqueue(fired))
+        fires_at_ms = math.ceil(earliest_ms / tick_ms) * tick_ms
+        self.timers.call_at(fires_at_ms, lambda: self.controller_loop.enqueue(fired))
 
     def send_gossip(self, action: SendGossip) -> None:
         """Send a datagram to a peer, or to the sibling process if the receiver is this gateway."""
--- a/gateway/policy/controller.py
+++ b/gateway/policy/controller.py
@@ -73,7 +73,7 @@
         timers = self.context.timers
         is_first = turn.started_at_ms is None
         turn.start(now_ms)
-        timers.clear_due_wake_up(now_ms)
+        timers.clear_reached_wake_up(now_ms)
         self.errors = []
         self._withdrawn_endpoints = []
         if is_first:
--- a/gateway/policy/quota/lease_client.py
+++ b/gateway/policy/quota/lease_client.py
@@ -108,8 +108,8 @@
             # The reply was QUEUED: a GRANT admits the request, and a DENY ends it or admits it as overage.
             return False
         account = self.accounts.refilled_account(request.arrival, request.plan)
-        may_repeat = request.lease_requests < MAX_LEASE_REQUESTS and not is_last
-        if may_repeat and account.leader not in self._silent_leaders:
+        may_resend = request.lease_requests < MAX_LEASE_REQUESTS and not is_last
+        if may_resend and account.leader not in self._silent_leaders:
             self._request_lease(request)
             return False
         self._silent_leaders.add(account.leader)
--- a/gateway/policy/timers.py
+++ b/gateway/policy/timers.py
@@ -84,7 +84,7 @@
         _, _, kind, subject = heapq.heappop(self._heap)
         return Timer(kind, subject)
 
-    def clear_due_wake_up(self, now_ms: float) -> None:
+    def clear_reached_wake_up(self, now_ms: float) -> None:
         """Forget the requested wake-up if its time has come, so that a later one can be requested."""
         if now_ms >= self._wake_up_at_ms - CLOCK_RESOLUTION_MS:
             self._wake_up_at_ms = math.inf
